--- a/bench/scale/capacity_rows.py
+++ b/bench/scale/capacity_rows.py
@@ -13,6 +13,7 @@
 
 from bench.scale.curves import Catalogue, SeriesName
 from bench.scale.fit import MAX_EXTRAPOLATION_FACTOR, Growth
+from bench.scale.precision import round_number
 
 
 class Quantity(Enum):
@@ -139,7 +140,7 @@
         transports.append(term.series.transport)
     return Result(
         row=row,
-        value=sum(value.value for value in values),
+        value=round_number(math.fsum(value.value for value in values)),
         error=math.sqrt(sum(value.error**2 for value in values)),
         measured_terms=len(values),
         unmeasured=tuple(unmeasured),
--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -1,7 +1,8 @@
 """Straight lines through measurements over growing sizes, and what they predict.
 
 Ordinary least squares with the textbook standard errors (Draper and Smith, Applied Regression Analysis,
-chapter 1). numpy comes with the `bench` extra.
+chapter 1). Sums are exact, in fractions, so that they do not depend on the order of the measurements or on
+the processor; results are rounded to the digits that the measured values determine.
 """
 
 from __future__ import annotations
@@ -9,10 +10,9 @@
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from fractions import Fraction
 
-import numpy as np
-import numpy.typing as npt
-
+from bench.scale.precision import decimal_exponent, reliable_decimals, round_reliably
 from bench.scale.results import Measurement
 
 MIN_SIZES = 3
@@ -66,10 +66,12 @@
         of the smallest, and `allow_extrapolation` is not set.
         """
         factor = _extrapolation_factor(self.sizes, size, allow_extrapolation)
-        mean_size = float(np.mean(self.sizes))
+        mean_size = sum(self.sizes) / len(self.sizes)
         line_variance = self.scatter**2 / len(self.sizes) + (self.slope_error * (size - mean_size)) ** 2
         error = math.sqrt(self.scatter**2 + line_variance)
-        return Prediction(size, self.constant + self.slope * size, error, factor)
+        rise = self.slope * size
+        value = round_reliably(self.constant + rise, max(abs(self.constant), abs(rise)))
+        return Prediction(size, value, error, factor)
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,8 +93,8 @@
     def predict(self, size: float, *, allow_extrapolation: bool = False) -> Prediction:
         """Return the curve's value at `size`. Raises as `LinearFit.predict` does."""
         factor = _extrapolation_factor(self.sizes, size, allow_extrapolation)
-        logarithms = np.log(self.sizes)
-        distance = math.log(size) - float(logarithms.mean())
+        mean_logarithm = math.fsum(math.log(measured) for measured in self.sizes) / len(self.sizes)
+        distance = math.log(size) - mean_logarithm
         line_variance = self.scatter**2 / len(self.sizes) + (self.exponent_error * distance) ** 2
         value = self.coefficient * size**self.exponent
         return Prediction(size, value, value * math.sqrt(self.scatter**2 + line_variance), factor)
@@ -111,7 +113,8 @@
     @property
     def deviation(self) -> float:
         """Measured less predicted, in standard errors of both; infinite if neither has any."""
-        difference = self.measured.value - self.predicted.value
+        largest = max(abs(self.measured.value), abs(self.predicted.value))
+        difference = round_reliably(self.measured.value - self.predicted.value, largest)
         error = math.hypot(self.predicted.error, self.measured.error)
         if error == 0:
             return 0.0 if difference == 0 else math.copysign(math.inf, difference)
@@ -127,17 +130,20 @@
     """
     _check_same_quantity(measurements)
     return _least_squares(
-        measurements, np.array([measurement.size for measurement in measurements], dtype=float)
+        measurements,
+        [measurement.size for measurement in measurements],
+        largest=_largest_value(measurements),
     )
 
 
 def growth(measurements: Sequence[Measurement]) -> Growth:
     """Fit a power law: least squares over logarithms, so each measurement counts by its relative error.
 
-    Raises `FitError` as `fit` does, and for values that are not above 0.
+    Raises `FitError` as `fit` does, and for values that are not above 0 by more than the rounding of the
+    largest one.
     """
     _check_same_quantity(measurements)
-    if any(measurement.value <= 0 for measurement in measurements):
+    if not _are_above_zero(measurements):
         raise FitError("a power law needs values above 0")
     logarithms = [
         replace(
@@ -147,14 +153,19 @@
         )
         for measurement in measurements
     ]
-    line = _least_squares(logarithms, np.log([measurement.size for measurement in measurements]))
+    line = _least_squares(
+        logarithms,
+        [math.log(measurement.size) for measurement in measurements],
+        # the last digit of a value is a relative error, and so an absolute one of its logarithm
+        largest=max(1.0, _largest_value(logarithms)),
+    )
     return Growth(line.slope, line.slope_error, math.exp(line.constant), line.scatter, line.sizes)
 
 
 def model(measurements: Sequence[Measurement]) -> Model:
     """The straight line, or the power law where the quantity clearly grows faster than its size."""
     line = fit(measurements)
-    if any(measurement.value <= 0 for measurement in measurements):
+    if not _are_above_zero(measurements):
         return line
     curve = growth(measurements)
     return curve if curve.is_superlinear else line
@@ -182,28 +193,51 @@
             raise FitError(f"measurements of different {field}: {', '.join(found)}")
 
 
-def _least_squares(measurements: Sequence[Measurement], positions: npt.NDArray[np.float64]) -> LinearFit:
-    values = np.array([measurement.value for measurement in measurements], dtype=float)
+def _largest_value(measurements: Sequence[Measurement]) -> float:
+    return max(abs(measurement.value) for measurement in measurements)
+
+
+def _are_above_zero(measurements: Sequence[Measurement]) -> bool:
+    """Whether every value is above 0 by more than the rounding of the largest one."""
+    largest = _largest_value(measurements)
+    return all(round_reliably(measurement.value, largest) > 0 for measurement in measurements)
+
+
+def _least_squares(
+    measurements: Sequence[Measurement], positions: Sequence[float], *, largest: float
+) -> LinearFit:
+    """The line through the values at `positions`, rounded to the last reliable digit of `largest`."""
     if len(set(positions)) < MIN_SIZES:
         raise FitError(f"{len(set(positions))} sizes measured, {MIN_SIZES} needed for a line with its error")
-    centred = positions - positions.mean()
-    spread = float(centred @ centred)
-    slope = float(centred @ values) / spread
-    constant = float(values.mean()) - slope * float(positions.mean())
-    residuals = values - (constant + slope * positions)
-    residual_variance = float(residuals @ residuals) / (len(values) - 2)
-    stated_variance = float(np.mean([measurement.error**2 for measurement in measurements]))
-    scatter = math.sqrt(max(residual_variance, stated_variance))
+    count = len(measurements)
+    places = [Fraction(position) for position in positions]
+    values = [Fraction(measurement.value) for measurement in measurements]
+    mean_place, mean_value = sum(places) / count, sum(values) / count
+    spread = sum((place - mean_place) ** 2 for place in places)
+    slope = sum((place - mean_place) * value for place, value in zip(places, values, strict=True)) / spread
+    constant = mean_value - slope * mean_place
+    residual_squares = sum(
+        (value - constant - slope * place) ** 2 for place, value in zip(places, values, strict=True)
+    )
+    stated_squares = sum(Fraction(measurement.error) ** 2 for measurement in measurements)
+    scatter = round_reliably(math.sqrt(max(residual_squares / (count - 2), stated_squares / count)), largest)
     return LinearFit(
-        constant=constant,
-        slope=slope,
-        constant_error=scatter * math.sqrt(1 / len(values) + float(positions.mean()) ** 2 / spread),
+        constant=round_reliably(float(constant), largest),
+        slope=_round_slope(float(slope), largest, max(positions) - min(positions)),
+        constant_error=scatter * math.sqrt(Fraction(1, count) + mean_place**2 / spread),
         slope_error=scatter / math.sqrt(spread),
         scatter=scatter,
-        sizes=tuple(measurement.size for measurement in measurements),
+        sizes=tuple(sorted(measurement.size for measurement in measurements)),
     )
 
 
+def _round_slope(slope: float, largest: float, distance: float) -> float:
+    """Round to what moves the line over `distance` by about the last reliable digit of `largest`."""
+    if largest == 0:
+        return slope
+    return round(slope, reliable_decimals(largest) + decimal_exponent(distance)) + 0.0
+
+
 def _extrapolation_factor(sizes: Sequence[int], size: float, allow_extrapolation: bool) -> float:
     factor = max(size / max(sizes), min(sizes) / size, 1.0)
     if factor > MAX_EXTRAPOLATION_FACTOR and not allow_extrapolation:
--- a/tests/test_scale_capacity.py
+++ b/tests/test_scale_capacity.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import math
+import random
 import re
 import shutil
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 from pathlib import Path
 
@@ -18,6 +20,7 @@
     findings,
     numbers_text,
     planned_rows,
+    precision,
     results,
     scans,
     worked_out,
@@ -47,6 +50,51 @@
 )
 
 
+ULPS = 4
+"""Units in the last place by which another processor's or library's values are taken to differ."""
+
+
+def times_one_and_a_bit(value: float) -> float:
+    return value * (1 + ULPS * math.ulp(1.0))
+
+
+def times_one_less_a_bit(value: float) -> float:
+    return value * (1 - ULPS * math.ulp(1.0))
+
+
+def plus_ulps(value: float) -> float:
+    return value + ULPS * math.ulp(value) if value else value
+
+
+def less_ulps(value: float) -> float:
+    return value - ULPS * math.ulp(value) if value else value
+
+
+def each_its_own_ulps(value: float) -> float:
+    """Up to `ULPS` more or less, another number of them for each value."""
+    ulps = random.Random(value).randint(-ULPS, ULPS)
+    return value + ulps * math.ulp(value) if value else value
+
+
+CHANGES_OF_LAST_BITS = (
+    times_one_and_a_bit,
+    times_one_less_a_bit,
+    plus_ulps,
+    less_ulps,
+    each_its_own_ulps,
+)
+
+
+def in_other_bits(measurements: Iterable[Measurement], change: Callable[[float], float]) -> list[Measurement]:
+    return [replace(one, value=change(one.value), error=change(one.error)) for one in measurements]
+
+
+def shuffled(measurements: Iterable[Measurement], seed: int) -> list[Measurement]:
+    ordered = list(measurements)
+    random.Random(seed).shuffle(ordered)
+    return ordered
+
+
 def on_line(*points: tuple[int, float], error: float = 0.0) -> list[Measurement]:
     return [replace(ONE, size=size, value=value, error=error) for size, value in points]
 
@@ -211,6 +259,75 @@
         assert far.value == pytest.approx(600.0)
 
 
+class TestReliableDigits:
+    """What a float cannot say of a fit is 0, and last bits and order change nothing else."""
+
+    EXACT_LINES = (
+        tuple((size, 1.91 * size) for size in (100, 300, 1000, 4200)),  # no constant
+        tuple((size, 13.0 + 27.1 * size) for size in (100, 300, 1000, 4200)),
+        tuple((size, 0.1 + 0.2) for size in (100, 300, 1000)),  # no slope
+        tuple((size, 1e-9 * size) for size in (1000, 30_000, 100_000)),
+        tuple((size, 0.0) for size in (1, 2, 3)),
+    )
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    @pytest.mark.parametrize("points", EXACT_LINES)
+    def test_points_on_a_line_have_no_scatter(
+        self, points: tuple[tuple[int, float], ...], change: Callable[[float], float]
+    ) -> None:
+        line = fit(in_other_bits(on_line(*points), change))
+        assert (line.scatter, line.constant_error, line.slope_error) == (0.0, 0.0, 0.0)
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_a_line_through_0_has_no_constant(self, change: Callable[[float], float]) -> None:
+        line = fit(in_other_bits(on_line(*self.EXACT_LINES[0]), change))
+        assert line.constant == 0.0
+        assert line.slope == pytest.approx(1.91)
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_a_level_line_has_no_slope(self, change: Callable[[float], float]) -> None:
+        line = fit(in_other_bits(on_line(*self.EXACT_LINES[2]), change))
+        assert line.slope == 0.0
+        assert line.constant == pytest.approx(0.3)
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_an_exact_power_law_has_no_scatter(self, change: Callable[[float], float]) -> None:
+        cubes = on_line(*((size, 0.7 * size**3) for size in (10, 20, 40, 70)))
+        curve = growth(in_other_bits(cubes, change))
+        assert (curve.exponent, curve.exponent_error, curve.scatter) == (3.0, 0.0, 0.0)
+        assert curve.coefficient == pytest.approx(0.7)
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_an_exact_power_law_of_exponent_0_is_level(self, change: Callable[[float], float]) -> None:
+        curve = growth(in_other_bits(on_line((10, 1.0), (20, 1.0), (40, 1.0)), change))
+        assert (curve.exponent, curve.coefficient, curve.scatter) == (0.0, 1.0, 0.0)
+
+    def test_a_prediction_that_cancels_out_is_0(self) -> None:
+        line = fit(on_line((1, 0.2), (2, 0.1), (4, -0.1)))
+        assert line.predict(3).value == 0.0
+
+    def test_a_held_back_size_that_differs_in_its_last_bits_does_not_deviate(self) -> None:
+        measured = on_line(*self.EXACT_LINES[0])
+        assert hold_back(measured, 4200).deviation == 0.0
+
+    def test_values_next_to_0_have_no_power_law(self) -> None:
+        points = on_line((10, math.ulp(1.0)), (20, 1.0), (40, 8.0))
+        assert isinstance(model(points), LinearFit)
+        with pytest.raises(FitError, match="above 0"):
+            growth(points)
+
+    def test_what_the_measurements_say_is_kept_far_below_the_largest_value(self) -> None:
+        line = fit(on_line((1, 1.0), (2, 1.0), (3, 1.0 + 1e-9)))
+        assert line.slope == pytest.approx(5e-10, rel=1e-3)
+        assert line.scatter > 0
+
+    @pytest.mark.parametrize("seed", range(10))
+    def test_any_order_gives_the_same_fit(self, seed: int) -> None:
+        points = on_line((1, 0.1), (3, 0.7), (7, 1.1), (20, 3.3), (90, 1e6), (400, 1e-3), error=0.01)
+        assert fit(shuffled(points, seed)) == fit(points)
+        assert growth(shuffled(points, seed)) == growth(points)
+
+
 class TestGrowth:
     """The power law, and which of the two is taken."""
 
@@ -411,6 +528,55 @@
     def test_the_error_sets_the_digits(self, value: float, error: float, text: str) -> None:
         assert numbers_text.with_error(value, error) == text
 
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    @pytest.mark.parametrize(
+        "value", [0.0, 4.125, 4.135, 0.0625, 0.001, 0.01235, 1.0, 9.995, 1000.0, 113_413.0, 4_199.0]
+    )
+    def test_last_bits_do_not_change_the_text(self, value: float, change: Callable[[float], float]) -> None:
+        changed = change(value)
+        assert numbers_text.number(changed) == numbers_text.number(value)
+        assert numbers_text.number(-changed) == numbers_text.number(-value)
+        assert numbers_text.with_error(changed, 0.0) == numbers_text.number(value)
+        assert numbers_text.with_error(changed, change(0.125)) == numbers_text.with_error(value, 0.125)
+        assert numbers_text.with_error(12.5, changed) == numbers_text.with_error(12.5, value)
+
+    def test_a_whole_number_of_many_digits_stays_whole(self) -> None:
+        assert numbers_text.number(123_456_789_012_345.0) == "123,456,789,012,345"
+
+
+class TestPrecision:
+    """Rounding to reliable digits."""
+
+    @pytest.mark.parametrize(
+        ("value", "exponent"), [(1.0, 0), (0.001, -3), (999.0, 2), (1000.0, 3), (-0.25, -1), (1e-300, -300)]
+    )
+    def test_the_exponent_of_the_first_digit(self, value: float, exponent: int) -> None:
+        assert precision.decimal_exponent(value) == exponent
+        assert precision.decimal_exponent(math.nextafter(value, 0.0)) == exponent
+
+    @pytest.mark.parametrize("value", [0.0, math.inf, math.nan])
+    def test_what_has_no_first_digit_is_refused(self, value: float) -> None:
+        with pytest.raises(ValueError, match="no decimal exponent"):
+            precision.decimal_exponent(value)
+
+    @pytest.mark.parametrize(
+        ("value", "largest", "rounded"),
+        [
+            (1e-12, 8000.0, 0.0),
+            (-1e-12, 8000.0, 0.0),
+            (1e-8, 8000.0, 1e-8),
+            (1.25, 1.0, 1.25),
+            (1.25, 0.0, 1.25),
+            (1.25, math.inf, 1.25),
+        ],
+    )
+    def test_what_is_below_the_last_digit_of_the_largest_is_0(
+        self, value: float, largest: float, rounded: float
+    ) -> None:
+        found = precision.round_reliably(value, largest)
+        assert found == rounded
+        assert math.copysign(1.0, found) == 1.0
+
 
 class TestWorkedOut:
     """Figures without a measurement."""
@@ -463,6 +629,12 @@
         assert sample.value > 0 and sample.error >= 0
 
 
+@pytest.fixture(scope="module")
+def pages() -> dict[Path, str]:
+    """Each page's text, from the committed results."""
+    return capacity.generate()
+
+
 class TestPage:
     """The generated pages."""
 
@@ -470,6 +642,36 @@
         assert capacity.stale_pages() == []
         assert capacity.main(["--check"]) == 0
 
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_last_bits_of_the_measurements_do_not_change_a_page(
+        self, tmp_path: Path, pages: dict[Path, str], change: Callable[[float], float]
+    ) -> None:
+        for name, measured in results.load_all().items():
+            results.save(tmp_path / name, in_other_bits(measured, change))
+        changed = results.load_all(tmp_path)
+        assert changed != results.load_all()
+        assert capacity.generate(tmp_path) == pages
+
+    @pytest.mark.parametrize("seed", range(3))
+    def test_the_order_of_the_measurements_does_not_change_a_page(
+        self, tmp_path: Path, pages: dict[Path, str], seed: int
+    ) -> None:
+        for name, measured in results.load_all().items():
+            ordered = shuffled(measured, seed)
+            assert ordered != list(measured)
+            (tmp_path / name).write_bytes(msgspec.json.encode(ordered))
+        assert capacity.generate(tmp_path) == pages
+
+    @pytest.mark.parametrize("change", CHANGES_OF_LAST_BITS)
+    def test_last_bits_of_the_fits_do_not_change_a_page(
+        self, monkeypatch: pytest.MonkeyPatch, pages: dict[Path, str], change: Callable[[float], float]
+    ) -> None:
+        """As where another mathematical library gives the logarithms, exponentials and roots."""
+        for name in ("log", "exp", "sqrt"):
+            exact = getattr(math, name)
+            monkeypatch.setattr(math, name, lambda value, exact=exact: change(exact(value)))
+        assert capacity.generate() == pages
+
     def test_a_changed_result_makes_them_stale(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
