--- a/bench/scale/director_process.py
+++ b/bench/scale/director_process.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import os
-import socket
 import subprocess
 import sys
 import time
@@ -19,14 +18,6 @@
     """The process did not begin to serve; the message holds the end of its log."""
 
 
-def free_port() -> int:
-    """A port of 127.0.0.1 that nobody listens on at this moment."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
-        return port
-
-
 class DirectorProcess:
     """One director; its files go into `folder`."""
 
--- a/bench/scale/load_loopback.py
+++ b/bench/scale/load_loopback.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram
 
 from bench.scale.director_config import configuration
-from bench.scale.director_process import DirectorProcess, free_port
+from bench.scale.director_process import DirectorProcess
 from bench.scale.load_traffic import (
     NOTE_HEADERS,
     RELEASE_HEADERS,
@@ -38,6 +38,7 @@
 )
 from bench.scale.results import Measurement
 from bench.scale.series import Quantity, Run, SizeSeries, measure_series
+from foxlift.standins.held_port import HeldPort
 
 ROLE = "platform director, process"
 SERVERS = 20
@@ -80,7 +81,8 @@
             self.servers = self._keep(TrafficProcess(run_servers))
             self.viewers = [self._keep(TrafficProcess(run_viewers)) for _ in range(viewer_processes)]
             addresses: Addresses = self.servers.order(Listen(SERVERS))
-            self._port = free_port()
+            self._held_port = HeldPort()
+            self._port = self._held_port.port
             self.director = DirectorProcess(
                 configuration(
                     addresses.servers,
--- a/bench/scale/loopback.py
+++ b/bench/scale/loopback.py
@@ -9,7 +9,6 @@
 
 import asyncio
 import json
-import socket
 import sys
 import tempfile
 import time
@@ -23,6 +22,7 @@
 from bench.scale.figures import Figure, mean_figure
 from bench.scale.hollow import DirectorAddress, FleetPlan
 from bench.scale.hollow_worker import WorkerSpecification
+from foxlift.standins.held_port import HeldPort
 
 MAX_SIZE = 300
 """Larger fleets on sockets were not tried: 300 take some 100 s and much of a machine of ten cores."""
@@ -42,10 +42,11 @@
     folder: Path
     workers: list[asyncio.subprocess.Process] = field(default_factory=list)
     names_by_worker: list[list[str]] = field(default_factory=list)
+    held_ports: list[HeldPort] = field(default_factory=list)
 
     async def start(self) -> None:
         """Start all processes and wait until every director listens."""
-        everyone = _addresses(self.size)
+        everyone, self.held_ports = _held_addresses(self.size)
         names = [address.name for address in everyone]
         for first in range(0, self.size, DIRECTORS_A_PROCESS):
             own = names[first : first + DIRECTORS_A_PROCESS]
@@ -86,6 +87,8 @@
                 worker.kill()
         for worker in self.workers:
             await worker.wait()
+        for held in self.held_ports:
+            held.release()
 
 
 async def _line(worker: asyncio.subprocess.Process) -> dict[str, Any]:
@@ -96,12 +99,15 @@
     return dict(json.loads(line))
 
 
-def _addresses(size: int) -> list[DirectorAddress]:
-    """Loopback addresses of their own, with one port that the kernel has free."""
-    with socket.socket() as probe:
-        probe.bind(("127.77.0.1", 0))
-        port = int(probe.getsockname()[1])
-    return [DirectorAddress(f"d{k}", f"127.77.{k // 250}.{k % 250 + 1}", port) for k in range(size)]
+def _held_addresses(size: int) -> tuple[list[DirectorAddress], list[HeldPort]]:
+    """Loopback addresses of their own, each with a held port."""
+    hosts = [f"127.77.{k // 250}.{k % 250 + 1}" for k in range(size)]
+    held_ports = [HeldPort(host=host) for host in hosts]
+    addresses = [
+        DirectorAddress(f"d{k}", host, held.port)
+        for k, (host, held) in enumerate(zip(hosts, held_ports, strict=True))
+    ]
+    return addresses, held_ports
 
 
 def control_part(size: int, seed: int) -> list[Figure]:
--- a/foxlift/standins/box.py
+++ b/foxlift/standins/box.py
@@ -18,6 +18,7 @@
 from foxlift.boxes.resource import RungOrder, SetUpOrder
 from foxlift.boxes.takeover import BOOT, FENCE, MOST_TAKEN, OWNER, TakeOrder
 from foxlift.http import Cors, Exchange, Limits, Server, StreamOut
+from foxlift.standins.held_port import HeldPort
 from foxlift.standins.load_reports import LoadReports
 from foxlift.standins.media import Filler, Media
 from foxlift.standins.model import BoxModel, BoxSession
@@ -71,6 +72,7 @@
         self.on_segment: SegmentObserver | None = None
         self.owners = Owners()
         self.port = 0
+        self._held_port: HeldPort | None = None
         self.up = False
         self.hanging = False
         self.lose_answers = 0.0  # the share of set-ups that are done and not answered
@@ -89,6 +91,9 @@
         self.streams.restart()
         self.hanging, self.lose_answers, self.answer_slowly = False, 0.0, False
         self._server = Server(self.loop, self._asked, Limits(idle_time_ms=30_000.0), self._cors)
+        if not (port or self.port):
+            self._held_port = HeldPort()  # it returns on the same port
+            self.port = self._held_port.port
         self.port = await self._server.listen("127.0.0.1", port or self.port)
         self.up = True
         self._tick = self.loop.call_later(TICK_S, self._on_tick)
--- a/foxlift/standins/platform.py
+++ b/foxlift/standins/platform.py
@@ -12,6 +12,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from foxlift.standins.held_port import HeldPort
+
 
 def start_line(tag: str, klass: str = "free", title: str = "00000000000000aa", **more: Any) -> bytes:
     """A viewer's set-up."""
@@ -59,11 +61,12 @@
         self.arrived = asyncio.Event()
         self.address = ""
         self._server: asyncio.Server | None = None
+        self._held_port: HeldPort | None = None
 
     async def start(self) -> StandInBox:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self._server.sockets[0].getsockname()[:2]
-        self.address = f"{host}:{port}"
+        self._held_port = HeldPort()  # nobody else answers at its address after its end
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._held_port.port)
+        self.address = f"127.0.0.1:{self._held_port.port}"
         return self
 
     async def stop(self) -> None:
@@ -114,11 +117,12 @@
         self.connected = asyncio.Event()
         self._changed = asyncio.Event()
         self._server: asyncio.Server | None = None
+        self._held_port: HeldPort | None = None
 
     async def start(self) -> StandInCoordinator:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self._server.sockets[0].getsockname()[:2]
-        self.address = f"{host}:{port}"
+        self._held_port = HeldPort()  # nobody else answers at its address after its end
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._held_port.port)
+        self.address = f"127.0.0.1:{self._held_port.port}"
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/foxlift/standins/tap.py
+++ b/foxlift/standins/tap.py
@@ -22,6 +22,7 @@
 from typing import Any, BinaryIO, cast
 
 from foxlift.standins import ways
+from foxlift.standins.held_port import HeldPort
 
 
 class Recorder:
@@ -67,6 +68,7 @@
         self.rest = rest  # where there is no fault
         self.name, self.recorder, self.loop, self.picks = name, recorder, loop, picks
         self.port = 0
+        self._held_port: HeldPort | None = None
         self.target = 0
         self.up = self.down = rest  # what new connections begin with
         self._server: asyncio.Server | None = None
@@ -74,10 +76,12 @@
 
     async def listen(self) -> int:
         """Bind; gives back the port, the same one each time."""
+        if self._held_port is None:
+            self._held_port = HeldPort()
+            self.port = self._held_port.port
         self._server = await self.loop.create_server(
             lambda: _Asking(self), "127.0.0.1", self.port, backlog=1024
         )
-        self.port = cast(int, self._server.sockets[0].getsockname()[1])
         return self.port
 
     # ---- Faults -------------------------------------------------------------------------------------------
@@ -110,6 +114,9 @@
     def close(self) -> None:
         """Close it; a second call does nothing."""
         self.refuse()
+        if self._held_port is not None:
+            self._held_port.release()
+            self._held_port = None
         for side in list(self._sides):
             side.abort()
 
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -20,13 +20,13 @@
 
 import pytest
 from platform_world import config, member, settings
+from ports import free_address
 from test_platform_sockets import (
     SMALL_BUFFER,
     Scene,
     asks_more,
     deafen,
     deafened,
-    free_address,
     held,
     name,
     play,
--- a/tests/test_platform_departures.py
+++ b/tests/test_platform_departures.py
@@ -22,6 +22,7 @@
 
 import pytest
 from platform_world import config, member, settings
+from ports import free_address
 from test_platform_crossings import (
     WAYS_TO_LEAVE,
     Leaver,
@@ -31,7 +32,7 @@
     served,
     stands_still,
 )
-from test_platform_sockets import SMALL_BUFFER, Scene, free_address, held, name, play, process, scene, unsent
+from test_platform_sockets import SMALL_BUFFER, Scene, held, name, play, process, scene, unsent
 from test_platform_turns import HELD, holds, idle_connection, put
 
 from foxlift.platform import rtsp, server_pool
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -15,7 +15,8 @@
 
 import pytest
 from platform_world import config, member
-from test_platform_sockets import Scene, free_address, held, name, play, scene, unsent
+from ports import free_address
+from test_platform_sockets import Scene, held, name, play, scene, unsent
 
 from foxlift.platform import server_pool
 from foxlift.platform.admission import MAX_OVERSHOOT
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 from platform_world import config, member
-from test_platform_sockets import free_address
+from ports import free_address
 
 from foxlift.standins.platform import StandInBox, StandInCoordinator, Viewer, start_line
 
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -18,6 +18,7 @@
 import pytest
 import uvloop
 from platform_world import config, member
+from ports import free_address
 
 from foxlift import interface as fl
 from foxlift.platform import events as ev
@@ -38,12 +39,6 @@
 SMALL_BUFFER = 4096  # bytes, of the machine's for one direction of a connection
 
 
-def free_address() -> str:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{sock.getsockname()[1]}"
-
-
 def name(number: int) -> str:
     return f"{number:016x}"
 
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -18,8 +18,9 @@
 
 import pytest
 from platform_world import config, member, settings
+from ports import free_address
 from test_platform_crossings import Leaver, left_by, push, sent, served, stands_still
-from test_platform_sockets import Scene, free_address, held, name, play, process, scene
+from test_platform_sockets import Scene, held, name, play, process, scene
 
 from foxlift.platform import admission, server_pool
 from foxlift.platform.buffers import HIGH_WATER_BYTES
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -13,7 +13,8 @@
 
 import pytest
 from platform_world import config, member
-from test_platform_sockets import Scene, free_address, name, play, scene
+from ports import free_address
+from test_platform_sockets import Scene, name, play, scene
 
 from foxlift import interface as fl
 from foxlift.platform import feed
