--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -26,6 +26,8 @@
 RELAYS = ("r0", "r1")
 DIRECTORS = ("d0", "d1")
 CUT = Terms(State.CUT)
+NOBODY = 0
+"""The target of a tap whose process is gone: its port may be another process's by now."""
 
 
 @dataclass
@@ -61,6 +63,9 @@
             process = self.processes[name].process
             assert process is not None
             await process.wait()
+            for (_, to), tap in self.links.items():
+                if to == name:
+                    tap.target = NOBODY
 
     async def until(self, true: Callable[[], Awaitable[object]], seconds: float = 20.0) -> None:
         """Ask until something is so."""
--- a/tests/many.py
+++ b/tests/many.py
@@ -22,6 +22,8 @@
 from foxlift.standins.ways import State, Terms
 from foxlift.tokens import Issuer, SessionToken
 
+NOBODY = 0
+"""The target of a tap whose process is gone: its port may be another process's by now."""
 WIDE = (
     ("(lost-after-ms 400)", "(lost-after-ms 2000)"),
     ("(link-kb-per-weight 7000)", "(link-kb-per-weight 700000)"),
@@ -129,6 +131,9 @@
             process = self.directors[name].process
             assert process is not None
             await process.wait()
+            for (_, to), tap in self.links.items():
+                if to == name:
+                    tap.target = NOBODY
 
 
 def run(
