--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -247,3 +247,26 @@
     fleet.run(60_000)
     assert not any(member.view.sizes()["news"] for member in fleet.members.values())
     assert fleet.wire[-1][2].endswith(b'"updates":[]}')
+
+
+@pytest.mark.parametrize("suspecters", [1, 2, 3])
+def test_a_suspicion_ends_in_death_when_the_director_itself_becomes_slow_meanwhile(suspecters: int) -> None:
+    """A director that is suspected itself stretches its waits; the timer of a suspicion must follow."""
+    view = vw.Peers("d0", 1, [f"d{k}" for k in range(6)], seed=1, period_ms=100.0)
+    timers: list[tuple[float, vw.Timer]] = []
+
+    def handle(now: float, event: vw.Event) -> None:
+        actions = view.handle(now, event)
+        timers.extend((now + a.delay_ms, a.timer) for a in actions if isinstance(a, vw.StartTimer))
+
+    handle(0.0, vw.Asked(1, pr.Ping("d1", 1)))
+    for k in range(suspecters):
+        by = f"d{2 + k}"
+        handle(10.0 * k, vw.Asked(2 + k, pr.Ping(by, 1, (pr.Update("d1", SUSPECTED, 1, 0, by),))))
+    handle(50.0, vw.Asked(9, pr.Ping("d5", 1, (pr.Update("d0", SUSPECTED, 1, 0, "d5"),))))
+    assert view.state("d1") is SUSPECTED
+    while timers:
+        due, timer = min(timers, key=lambda entry: entry[0])
+        timers.remove((due, timer))
+        handle(due, vw.TimerDue(timer))
+    assert view.state("d1") is DEAD
