--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -14,9 +14,9 @@
 from bench.scale.figures import Figure, mean_figure
 from bench.scale.timing import memory_of, processor_of
 from bench.scale.virtual_fleet import answer_bytes, request_bytes
-from foxlift.accord import Accept, Ballot, Holder, Prepare, Registers, holders_of, register
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import holder as register_holder
+from foxlift.consensus import Accept, Ballot, Holder, Prepare, Registers, holders_of, register
+from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import replica as register_holder
 from foxlift.director.cluster.messages import RegisterRequest, RegisterResponse
 from foxlift.recovery import claims as recovery_claims
 
--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -7,9 +7,9 @@
 from bench.scale.sampling import Sample, allocated_bytes, exact, processor_ms
 from bench.scale.scan import CONFIGURATION, CONTROL, DISCOVERY, PLAN_MAKERS, REGISTER_HOLDERS, Scan
 from foxlift import interface as fl
-from foxlift.accord import Accept, Ballot, Holder, Prepare, Record, Registers, holders_of
-from foxlift.accord import holder as acceptor
 from foxlift.config.settings import PeerConfig
+from foxlift.consensus import Accept, Ballot, Holder, Prepare, Record, Registers, holders_of
+from foxlift.consensus import replica as acceptor
 from foxlift.director.cluster.zone_planning import ReportMessage
 from foxlift.membership import BoxEntry, BoxList, CacheList, Changes, ListAnswer, ListWatch, PollDue
 from foxlift.membership.boxlist import encode_full, read_response
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -347,7 +347,7 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/accord/spread.py",
+        "foxlift/consensus/rendezvous.py",
         "`holders_of`",
         "all names are hashed and sorted for one claim",
         _scan("place of a claim's register", REGISTER_HOLDERS, "directors"),
@@ -357,7 +357,7 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/accord/holder.py",
+        "foxlift/consensus/replica.py",
         "`_forget`",
         "all registers are searched for those that are over",
         _scan("scan for registers that are over", REGISTER_HOLDERS, "registers"),
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -19,7 +19,7 @@
 from bench.scale.figures import Figure, mean_figure
 from bench.scale.timing import memory_of, processor_of
 from bench.scale.virtual_fleet import request_bytes
-from foxlift.accord import Registers
+from foxlift.consensus import Registers
 from foxlift.director.cluster.zone_planning import REPORT_INTERVAL_MS, PlanMessage, ReportMessage
 from foxlift.zones import common
 from foxlift.zones.evidence import Evidence, Report, Sight
--- a/bench/scale/storage_scans.py
+++ b/bench/scale/storage_scans.py
@@ -8,7 +8,7 @@
 
 from bench.scale.sampling import Sample, allocated_bytes, processor_ms
 from bench.scale.scan import CONTROL, LEDGER_EXPORT, REGISTER_HOLDERS, Scan
-from foxlift.accord import Ballot, Record
+from foxlift.consensus import Ballot, Record
 from foxlift.ledger.account import Account
 from foxlift.ledger.export import MOST
 from foxlift.ledger.journal import NAME, read_records
--- a/bench/scale/virtual_rollout.py
+++ b/bench/scale/virtual_rollout.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from foxlift.accord import register as registers
+from foxlift.consensus import register as registers
 from foxlift.rollout import agent, follower, server, watcher
 from foxlift.rollout.acceptor import OpenVersion
 from foxlift.rollout.agent import Agent, Problem
--- a/foxlift/accord/__init__.py
+++ b/foxlift/consensus/__init__.py
@@ -5,10 +5,10 @@
 Where two cannot be reached nobody is told anything but that: a refusal is harmless, a second set-up is not.
 """
 
-from foxlift.accord.holder import Holder, Record
-from foxlift.accord.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
-from foxlift.accord.register import Change, Decided, Registers, Unreached
-from foxlift.accord.spread import holders_of
+from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.register import Change, Decided, Registers, Unreached
+from foxlift.consensus.rendezvous import holders_of
+from foxlift.consensus.replica import Holder, Record
 
 __all__ = [
     "Accept",
--- a/foxlift/accord/register.py
+++ b/foxlift/consensus/register.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from foxlift.accord.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
 
 AGAIN_MS = 20.0  # least wait after a higher ballot; doubles, and half of it is drawn
 AGAIN_MOST_MS = 640.0
--- a/foxlift/accord/holder.py
+++ b/foxlift/consensus/replica.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from foxlift.accord.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
 
 MOST_KEYS = 1_000_000  # held at once; more are not vouched for
 MOST_WAITING = 4096  # asks that wait for the disk
--- a/foxlift/control/messages.py
+++ b/foxlift/control/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import Ask as RegisterAsk
+from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import Ask as RegisterAsk
 from foxlift.rollout.entry import Name, Version
 from foxlift.rollout.messages import Epoch
 
--- a/foxlift/control/service.py
+++ b/foxlift/control/service.py
@@ -22,9 +22,9 @@
 import msgspec
 import structlog
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import register as registers
 from foxlift.config.control import ControlConfig
+from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import register as registers
 from foxlift.control import messages
 from foxlift.control.disk_trust import DiskTrust
 from foxlift.control.messages import HelloAnswer, RegisterRequest, RegisterResponse
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -8,8 +8,8 @@
 import re
 from functools import partial
 
-from foxlift.accord import holders_of
 from foxlift.boxes.takeover import TakeAnswer
+from foxlift.consensus import holders_of
 from foxlift.decide.claims import Why
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -6,10 +6,11 @@
 
 import msgspec
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import Ask as RegisterAsk
-from foxlift.accord import Holder, Reject, holder
-from foxlift.accord.register import Answered, Send, Unanswered
+from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import Holder, Reject
+from foxlift.consensus import replica as acceptor
+from foxlift.consensus.register import Answered, Send, Unanswered
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import JSON_HEADERS, RegisterRequest, RegisterResponse
@@ -53,19 +54,19 @@
             reply(Reject(ask.key, ask.ballot))
             return
         number = self._context.next_number()
-        self._step(replica, holder.Asked(number, ask), reply)
+        self._step(replica, acceptor.Asked(number, ask), reply)
 
-    def _step(self, replica: Holder, event: holder.Event, reply: Reply) -> None:
+    def _step(self, replica: Holder, event: acceptor.Event, reply: Reply) -> None:
         for action in replica.handle(self._context.now(), event):
             match action:
-                case holder.Store(number, record):
+                case acceptor.Store(number, record):
                     self._store(replica, number, record, reply)
-                case holder.Reply(_, message):
+                case acceptor.Reply(_, message):
                     reply(message)
 
-    def _store(self, replica: Holder, number: int, record: holder.Record, reply: Reply) -> None:
+    def _store(self, replica: Holder, number: int, record: acceptor.Record, reply: Reply) -> None:
         def stored(error: OSError | None) -> None:
-            event = holder.Stored(number) if error is None else holder.StoreFailed(number)
+            event = acceptor.Stored(number) if error is None else acceptor.StoreFailed(number)
             self._step(replica, event, reply)
             if error is not None:
                 reply(None)
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -7,9 +7,9 @@
     token_claims, forwarding  who may set a paid token up; who answers a request
     zone_planning             the zones' plan in common, where the settings name planners
 
-The decisions are those of `foxlift.peers`, `foxlift.accord`, `foxlift.recovery` and `foxlift.zones`, which do
-no I/O. Every message names its sender and the sender's boot epoch; who is not in the settings, or is in an
-epoch that is over, is refused.
+The decisions are made by `foxlift.peers`, `foxlift.consensus`, `foxlift.recovery` and `foxlift.zones`, which
+do no I/O. Every message names its sender and the sender's boot epoch. Messages of a sender that the settings
+do not name, or of a past epoch, are refused.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 import asyncio
 from collections.abc import Callable
 
-from foxlift.accord.register import Answered, Send, Unanswered
 from foxlift.config import DirectorConfig
+from foxlift.consensus.register import Answered, Send, Unanswered
 from foxlift.director import events
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from foxlift.accord import Registers, holders_of
-from foxlift.accord.register import ChangeProgress, Send, StartTimer
+from foxlift.consensus import Registers, holders_of
+from foxlift.consensus.register import ChangeProgress, Send, StartTimer
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.ports import Host
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.accord import Registers, register
+from foxlift.consensus import Registers, register
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import BootEpoch, PeerName
--- a/foxlift/recovery/book.py
+++ b/foxlift/recovery/book.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from foxlift.accord import Record
+from foxlift.consensus import Record
 from foxlift.store import FilePort, LogError, LogReader, encode_frame, encode_header
 from foxlift.store.groups import GroupWriter
 
--- a/foxlift/recovery/claims.py
+++ b/foxlift/recovery/claims.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from foxlift.accord import register as rg
+from foxlift.consensus import register as rg
 
 MOST_LOST = 100_000
 TRIES = 3  # an own earlier attempt, then perhaps one more
--- a/foxlift/recovery/takeover.py
+++ b/foxlift/recovery/takeover.py
@@ -38,7 +38,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from foxlift.accord.spread import holders_of, is_first
+from foxlift.consensus.rendezvous import holders_of, is_first
 from foxlift.peers.messages import State
 
 MOST_OUT = 4  # takes out at once
--- a/foxlift/rollout/acceptor.py
+++ b/foxlift/rollout/acceptor.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
-from foxlift.accord.holder import Asked as Asked
-from foxlift.accord.holder import Stored as Stored
-from foxlift.accord.holder import StoreFailed as StoreFailed
-from foxlift.accord.messages import Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.replica import Asked as Asked
+from foxlift.consensus.replica import Stored as Stored
+from foxlift.consensus.replica import StoreFailed as StoreFailed
 
 MAX_OPEN_VERSIONS = 4096
 MAX_WAITING = 4096  # asks that wait for the disk
--- a/foxlift/rollout/group.py
+++ b/foxlift/rollout/group.py
@@ -9,7 +9,7 @@
 
 import math
 
-from foxlift.accord import register as registers
+from foxlift.consensus import register as registers
 from foxlift.rollout import acceptor
 from foxlift.rollout.acceptor import Acceptor
 from foxlift.rollout.log import ConfigLog
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -10,7 +10,7 @@
     any        its time is up                                 (none)     Done: unknown, it may yet be decided
     QUEUED     it cannot be an entry (any more)               (none)     Done: refused, and why
 
-Two proposers at one version: the register (`foxlift.accord`) lets one entry through, and tells both which.
+Two proposers at one version: the register (`foxlift.consensus`) lets one entry through, and tells both which.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from foxlift.accord import register as registers
+from foxlift.consensus import register as registers
 from foxlift.rollout.acceptor import key_of
 from foxlift.rollout.entry import Change, Entry, EntryError, check_change, read_entry
 from foxlift.rollout.log import ConfigLog
--- a/foxlift/rollout/roster.py
+++ b/foxlift/rollout/roster.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass
 
-from foxlift.accord.spread import rank
+from foxlift.consensus.rendezvous import rank
 from foxlift.rollout.messages import (
     MAX_CANARIES,
     MAX_REFUSALS,
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -11,9 +11,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import Ask as RegisterAsk
-from foxlift.accord import register as registers
+from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import register as registers
 from foxlift.rollout import acceptor, follower, group, hub, watcher
 from foxlift.rollout.acceptor import OpenVersion
 from foxlift.rollout.entry import Entry, EntryError
--- a/foxlift/rollout/watcher.py
+++ b/foxlift/rollout/watcher.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from foxlift.accord.spread import rank
+from foxlift.consensus.rendezvous import rank
 
 HOLD_MS = 5000.0  # how long a source may hold a watch that it has no news for
 OVERDUE_MS = HOLD_MS + 2000.0  # without an answer for so long a source counts as gone
--- a/foxlift/zones/common.py
+++ b/foxlift/zones/common.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from foxlift.accord import register as rg
+from foxlift.consensus import register as rg
 from foxlift.zones.evidence import Evidence, Report
 from foxlift.zones.plan import Order, Plan, Planner, read_plan, write_plan
 
--- a/tests/accord_world.py
+++ b/tests/consensus_world.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.accord import Holder, Record, Registers, holders_of
-from foxlift.accord import holder as hd
-from foxlift.accord import register as rg
+from foxlift.consensus import Holder, Record, Registers, holders_of
+from foxlift.consensus import register as rg
+from foxlift.consensus import replica as rp
 
 NOW, EXPIRES, LONGEST, LEEWAY = 1_000_000, 2_000_000, 3_600_000, 5_000
 
@@ -93,24 +93,24 @@
     def _arrives(self, k: int, registers: Registers, value: str, send: rg.Send) -> None:
         holder = self.holders[send.to]
         self.numbers += 1
-        for action in holder.handle(NOW, hd.Asked(self.numbers, send.message)):
+        for action in holder.handle(NOW, rp.Asked(self.numbers, send.message)):
             self._holder_does(k, registers, value, send, holder, action)
 
     def _holder_does(
-        self, k: int, registers: Registers, value: str, send: rg.Send, holder: Holder, action: hd.Action
+        self, k: int, registers: Registers, value: str, send: rg.Send, holder: Holder, action: rp.Action
     ) -> None:
         match action:
-            case hd.Store(request, record):
+            case rp.Store(request, record):
 
                 def lasts() -> None:
                     if self.holders[send.to] is not holder:
                         return  # the process died before: it may or may not be on disk, and nobody was told
                     self.disks[send.to].records[record.key] = record
-                    for more in holder.handle(NOW, hd.Stored(request)):
+                    for more in holder.handle(NOW, rp.Stored(request)):
                         self._holder_does(k, registers, value, send, holder, more)
 
                 self._in_order(send.to, lasts)
-            case hd.Reply(_, answer):
+            case rp.Reply(_, answer):
                 event = rg.Answered(send.ask, answer)
                 self.out.append(lambda: self._tell(k, registers, value, event))
 
--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.accord import Holder, Registers, holders_of
-from foxlift.accord import holder as hd
-from foxlift.accord import register as rg
+from foxlift.consensus import Holder, Registers, holders_of
+from foxlift.consensus import register as rg
+from foxlift.consensus import replica as rp
 from foxlift.recovery import claims as rc
 from foxlift.recovery import route as rt
 from foxlift.standins.owners import Owners
@@ -75,7 +75,7 @@
         self.owners = self.make_owners()
         self.boots = 0
         self.store: dict[str, str | None] = {"value": None}
-        self.disks: dict[str, dict[str, hd.Record]] = {name: {} for name in self.names}
+        self.disks: dict[str, dict[str, rp.Record]] = {name: {} for name in self.names}
         self.holders = {name: Holder(EXPIRES, 0, 0, self.disks[name]) for name in self.names}
         self.processes: dict[str, Process] = {}
         self.runs = dict.fromkeys(self.names, 0)
@@ -178,15 +178,15 @@
             return
         self.numbers += 1
         holder = self.holders[send.to]
-        for action in holder.handle(self.now, hd.Asked(self.numbers, send.message)):
+        for action in holder.handle(self.now, rp.Asked(self.numbers, send.message)):
             self.holder_does(process, send, holder, action)
 
-    def holder_does(self, process: Process, send: rg.Send, holder: Holder, action: hd.Action) -> None:
+    def holder_does(self, process: Process, send: rg.Send, holder: Holder, action: rp.Action) -> None:
         match action:
-            case hd.Store(request, _):
-                for more in holder.handle(self.now, hd.Stored(request)):
+            case rp.Store(request, _):
+                for more in holder.handle(self.now, rp.Stored(request)):
                     self.holder_does(process, send, holder, more)
-            case hd.Reply(_, message):
+            case rp.Reply(_, message):
                 event = rg.Answered(send.ask, message)
                 self.send("answer", self.of(process, lambda: self.register(process, event)))
 
--- a/tests/test_accord.py
+++ b/tests/test_consensus.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 import pytest
-from accord_world import EXPIRES, LEEWAY, LONGEST, NOW, Disk, World
+from consensus_world import EXPIRES, LEEWAY, LONGEST, NOW, Disk, World
 
-from foxlift.accord import Accept, Ballot, Holder, Prepare, Promise, Registers, Reject, Taken, holders_of
-from foxlift.accord import holder as hd
-from foxlift.accord import register as rg
+from foxlift.consensus import Accept, Ballot, Holder, Prepare, Promise, Registers, Reject, Taken, holders_of
+from foxlift.consensus import register as rg
+from foxlift.consensus import replica as rp
 
 SCHEDULES = 20_000
 KEY = "token"
@@ -52,8 +52,8 @@
     """Its holders answer before the disk has it."""
 
     def _holder_does(self, k, registers, value, send, holder, action):  # type: ignore[no-untyped-def]
-        if isinstance(action, hd.Store):
-            for more in holder.handle(NOW, hd.Stored(action.request)):
+        if isinstance(action, rp.Store):
+            for more in holder.handle(NOW, rp.Stored(action.request)):
                 super()._holder_does(k, registers, value, send, holder, more)
             return
         super()._holder_does(k, registers, value, send, holder, action)
@@ -65,7 +65,7 @@
     def _asked(self, now, request, message):  # type: ignore[no-untyped-def]
         known = self.records.get(message.key)
         if known is not None and message.ballot < known.promised:
-            self.records[message.key] = hd.Record(
+            self.records[message.key] = rp.Record(
                 known.key, known.expires, message.ballot, known.taken, known.value
             )
         return super()._asked(now, request, message)
@@ -155,11 +155,11 @@
         def deliver(self, key: tuple[int, str, str]) -> None:
             send, registers = self.pending.pop(key), self.registers[key[0]]
             holder = self.holders[send.to]
-            actions = holder.handle(NOW, hd.Asked(1, send.message))
-            if isinstance(actions[0], hd.Store):
-                actions = holder.handle(NOW, hd.Stored(1))
+            actions = holder.handle(NOW, rp.Asked(1, send.message))
+            if isinstance(actions[0], rp.Store):
+                actions = holder.handle(NOW, rp.Stored(1))
             [reply] = actions
-            assert isinstance(reply, hd.Reply)
+            assert isinstance(reply, rp.Reply)
             self.does(key[0], registers.handle(NOW, rg.Answered(send.ask, reply.message)))
 
     stack = [Small()]
@@ -194,22 +194,22 @@
 def test_a_holder_answers_only_what_lasts_and_nothing_where_the_disk_failed() -> None:
     made = holder()
     ask = Prepare(KEY, Ballot(1, "a"), EXPIRES)
-    [store] = made.handle(NOW, hd.Asked(1, ask))
-    assert isinstance(store, hd.Store) and store.record.promised == ask.ballot
-    assert made.handle(NOW, hd.Stored(1)) == [hd.Reply(1, Promise(KEY, ask.ballot))]
-    made.handle(NOW, hd.Asked(2, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
-    assert made.handle(NOW, hd.StoreFailed(2)) == [] == made.handle(NOW, hd.Stored(2))
-    [late] = made.handle(NOW, hd.Asked(3, Prepare(KEY, Ballot(0, "z"), EXPIRES)))
-    assert late == hd.Reply(3, Reject(KEY, Ballot(0, "z"), Ballot(1, "a")))
+    [store] = made.handle(NOW, rp.Asked(1, ask))
+    assert isinstance(store, rp.Store) and store.record.promised == ask.ballot
+    assert made.handle(NOW, rp.Stored(1)) == [rp.Reply(1, Promise(KEY, ask.ballot))]
+    made.handle(NOW, rp.Asked(2, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
+    assert made.handle(NOW, rp.StoreFailed(2)) == [] == made.handle(NOW, rp.Stored(2))
+    [late] = made.handle(NOW, rp.Asked(3, Prepare(KEY, Ballot(0, "z"), EXPIRES)))
+    assert late == rp.Reply(3, Reject(KEY, Ballot(0, "z"), Ballot(1, "a")))
 
 
 def test_a_lost_disk_vouches_only_for_what_it_can_never_have_held() -> None:
     made = holder(lost_at=NOW)
     old = Prepare(KEY, Ballot(1, "a"), NOW + LONGEST)
-    assert made.handle(NOW, hd.Asked(1, old)) == [hd.Reply(1, Reject(KEY, old.ballot))]
+    assert made.handle(NOW, rp.Asked(1, old)) == [rp.Reply(1, Reject(KEY, old.ballot))]
     later = NOW + 2 * LEEWAY
     young = Prepare(KEY, Ballot(1, "a"), NOW + LONGEST + LEEWAY + 1)
-    assert isinstance(made.handle(later, hd.Asked(2, young))[0], hd.Store)
+    assert isinstance(made.handle(later, rp.Asked(2, young))[0], rp.Store)
 
 
 def test_one_lost_disk_costs_refusals_and_never_a_second_claim() -> None:
@@ -262,25 +262,25 @@
     ],
 )
 def test_keys_past_their_end_or_too_long_are_not_vouched_for(now: int, expires: int, vouched: bool) -> None:
-    [action] = holder().handle(now, hd.Asked(1, Prepare(KEY, Ballot(1, "a"), expires)))
-    assert isinstance(action, hd.Store) == vouched
+    [action] = holder().handle(now, rp.Asked(1, Prepare(KEY, Ballot(1, "a"), expires)))
+    assert isinstance(action, rp.Store) == vouched
 
 
 def test_what_ended_is_forgotten_and_cannot_come_back() -> None:
     made = holder()
-    made.handle(NOW, hd.Asked(1, Accept(KEY, Ballot(1, "a"), NOW + 10, "v")))
-    made.handle(NOW, hd.Stored(1))
+    made.handle(NOW, rp.Asked(1, Accept(KEY, Ballot(1, "a"), NOW + 10, "v")))
+    made.handle(NOW, rp.Stored(1))
     assert made.records
     later = NOW + 10 + 2 * LEEWAY + 1
-    [answer] = made.handle(later, hd.Asked(2, Prepare(KEY, Ballot(9, "b"), NOW + 10)))
-    assert not made.records and answer == hd.Reply(2, Reject(KEY, Ballot(9, "b")))
+    [answer] = made.handle(later, rp.Asked(2, Prepare(KEY, Ballot(9, "b"), NOW + 10)))
+    assert not made.records and answer == rp.Reply(2, Reject(KEY, Ballot(9, "b")))
 
 
 def test_a_key_with_another_end_is_not_the_key_that_is_known() -> None:
     made = holder()
-    made.handle(NOW, hd.Asked(1, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
-    [answer] = made.handle(NOW, hd.Asked(2, Prepare(KEY, Ballot(2, "b"), EXPIRES + 1)))
-    assert answer == hd.Reply(2, Reject(KEY, Ballot(2, "b")))
+    made.handle(NOW, rp.Asked(1, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
+    [answer] = made.handle(NOW, rp.Asked(2, Prepare(KEY, Ballot(2, "b"), EXPIRES + 1)))
+    assert answer == rp.Reply(2, Reject(KEY, Ballot(2, "b")))
 
 
 # ---- One claimant -----------------------------------------------------------------------------------------
@@ -364,15 +364,15 @@
 def test_a_holder_s_tables_are_bounded_and_what_is_over_is_not_vouched_for(
     bound: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hd, bound, 2)
+    monkeypatch.setattr(rp, bound, 2)
     made = holder()
     ballot = Ballot(1, "a")
-    asked = [made.handle(NOW, hd.Asked(k, Prepare(f"k{k}", ballot, EXPIRES))) for k in range(3)]
-    assert [isinstance(actions[0], hd.Store) for actions in asked] == [True, True, False]
-    assert asked[2] == [hd.Reply(2, Reject("k2", ballot))]
+    asked = [made.handle(NOW, rp.Asked(k, Prepare(f"k{k}", ballot, EXPIRES))) for k in range(3)]
+    assert [isinstance(actions[0], rp.Store) for actions in asked] == [True, True, False]
+    assert asked[2] == [rp.Reply(2, Reject("k2", ballot))]
     if bound == "MOST_WAITING":  # once the disk has caught up it vouches again
-        made.handle(NOW, hd.Stored(0))
-        assert isinstance(made.handle(NOW, hd.Asked(3, Prepare("k2", ballot, EXPIRES)))[0], hd.Store)
+        made.handle(NOW, rp.Stored(0))
+        assert isinstance(made.handle(NOW, rp.Asked(3, Prepare("k2", ballot, EXPIRES)))[0], rp.Store)
 
 
 # ---- Another number of directors --------------------------------------------------------------------------
@@ -425,7 +425,7 @@
     """Other registers may hold more: the bound of the messages is theirs."""
     ballot = Ballot(1, "a")
     made = Holder(10_000, 0)
-    for length, is_taken in ((hd.MAX_VALUE_CHARS, True), (hd.MAX_VALUE_CHARS + 1, False)):
+    for length, is_taken in ((rp.MAX_VALUE_CHARS, True), (rp.MAX_VALUE_CHARS + 1, False)):
         key = f"t/{length}"
-        actions = made.handle(0.0, hd.Asked(1, Accept(key, ballot, 5000, "x" * length)))
-        assert [type(action) for action in actions] == [hd.Store if is_taken else hd.Reply]
+        actions = made.handle(0.0, rp.Asked(1, Accept(key, ballot, 5000, "x" * length)))
+        assert [type(action) for action in actions] == [rp.Store if is_taken else rp.Reply]
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -10,7 +10,7 @@
 import platform_world
 import pytest
 
-from foxlift.accord import Registers, spread
+from foxlift.consensus import Registers, rendezvous
 from foxlift.peers import State
 from foxlift.platform import settings
 from foxlift.platform.stop import State as StopState
@@ -43,8 +43,8 @@
     draw = random.Random(seed)
     names = [f"n{number}" for number in range(draw.randrange(1, 30))]
     key = f"key {seed}"
-    first = spread.holders_of(key, names, 1)[0]
-    assert [name for name in names if spread.is_first(key, name, names)] == [first]
+    first = rendezvous.holders_of(key, names, 1)[0]
+    assert [name for name in names if rendezvous.is_first(key, name, names)] == [first]
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -69,8 +69,8 @@
         ranked += 1
         return rank(key, name)
 
-    rank = spread.rank
-    monkeypatch.setattr(spread, "rank", counted)
+    rank = rendezvous.rank
+    monkeypatch.setattr(rendezvous, "rank", counted)
     machine.handle(0.0, takeover.Seen(NAMES[1], State.ALIVE, RUN + 1, tuple(NAMES[:-1])))
     assert ranked < 100 * 100  # all names for each of 100 servers are 420,000
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -34,7 +34,7 @@
     "ledger": 1,
     "peers": 1,
     "recovery": 1,
-    "accord": 1,
+    "consensus": 1,
     "zones": 1,
     "rollout": 1,
     "store": 1,
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -553,7 +553,7 @@
         "foxlift.ledger",
         "foxlift.director.core",
         "foxlift.peers",
-        "foxlift.accord",
+        "foxlift.consensus",
         "foxlift.recovery",
         "foxlift.zones",
         "foxlift.boxes",
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foxlift.accord.messages import Accept, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Ballot, Prepare, Promise, Reject, Taken
 from foxlift.rollout import acceptor, agent, hub, watcher
 from foxlift.rollout.acceptor import Acceptor, key_of, version_of
 from foxlift.rollout.agent import Agent, Problem
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -9,7 +9,7 @@
 
 from bench.scale.rollout_schedules import play_schedule
 from bench.scale.virtual_rollout import BAD, FATAL, RolloutWorld, judge, settle
-from foxlift.accord.messages import Ask
+from foxlift.consensus.messages import Ask
 from foxlift.rollout import acceptor, agent, hub, log, proposer
 from foxlift.rollout.acceptor import Acceptor
 from foxlift.rollout.content import Content
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from zones_world import ZONES, Fleet, anything, broken
 
-from foxlift.accord import Promise, Registers
+from foxlift.consensus import Promise, Registers
 from foxlift.director.cluster.zone_planning import shares_of
 from foxlift.zones import common as cm
 from foxlift.zones.evidence import Evidence, Judgement, Report, Sight, Verdict
--- a/tests/zones_world.py
+++ b/tests/zones_world.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.accord import Holder, Record, Registers
-from foxlift.accord import holder as hd
-from foxlift.accord import register as rg
+from foxlift.consensus import Holder, Record, Registers
+from foxlift.consensus import register as rg
+from foxlift.consensus import replica as rp
 from foxlift.zones import common as cm
 from foxlift.zones.evidence import Evidence, Report, Sight
 from foxlift.zones.plan import Plan, Planner, State, read_plan, write_plan
@@ -124,24 +124,24 @@
     def asked(self, name: str, member: cm.Common, send: rg.Send) -> None:
         holder = self.holders[send.to]
         self._order += 1
-        for action in holder.handle(self.now, hd.Asked(self._order, send.message)):
+        for action in holder.handle(self.now, rp.Asked(self._order, send.message)):
             self.holder_does(name, member, send, holder, action)
 
     def holder_does(
-        self, name: str, member: cm.Common, send: rg.Send, holder: Holder, action: hd.Action
+        self, name: str, member: cm.Common, send: rg.Send, holder: Holder, action: rp.Action
     ) -> None:
         match action:
-            case hd.Store(request, record):
+            case rp.Store(request, record):
 
                 def lasts() -> None:
                     if self.holders[send.to] is not holder or send.to not in self.up:
                         return
                     self.disks[send.to][record.key] = record
-                    for more in holder.handle(self.now, hd.Stored(request)):
+                    for more in holder.handle(self.now, rp.Stored(request)):
                         self.holder_does(name, member, send, holder, more)
 
                 self.later(2.0, lasts)
-            case hd.Reply(_, message):
+            case rp.Reply(_, message):
                 event = cm.OfRegister(rg.Answered(send.ask, message))
                 self.send(send.to, name, lambda: self.tell(name, member, event))
 
