--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -363,7 +363,7 @@
         _scan("scan for registers that are over", REGISTER_HOLDERS, "registers"),
         REGISTERS,
         "each eleven seconds",
-        mend="a heap by end, as `decide/claims.py` has",
+        mend="a heap by end, as `decide/token_sessions.py` has",
     ),
     Finding(
         Kind.WORK,
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -18,7 +18,7 @@
 from foxlift.boxes.takeover import TakeAnswer, TakeOrder
 from foxlift.config import DirectorConfig, bind, read_forms
 from foxlift.config.settings import PeerConfig
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.director.cluster.ports import ForwardableRequest
 from foxlift.director.cluster.service import ClusterService
@@ -119,7 +119,7 @@
         """Never called."""
         raise NotImplementedError
 
-    def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
+    def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """Never called."""
         raise NotImplementedError
 
--- a/bench/scale/load_memory.py
+++ b/bench/scale/load_memory.py
@@ -20,7 +20,7 @@
 from bench.scale.load_core import CoreUnderLoad
 from bench.scale.series import Quantity, Run, SizeSeries, measure_series
 from foxlift import interface as fl
-from foxlift.decide import claims
+from foxlift.decide import token_sessions
 from foxlift.peers import Asked, Peers
 from foxlift.peers.messages import Ping
 from foxlift.platform import events as ev
@@ -80,11 +80,11 @@
     return view
 
 
-def _playing_claims(count: int) -> claims.Claims:
-    held = claims.Claims()
+def _playing_claims(count: int) -> token_sessions.TokenSessions:
+    held = token_sessions.TokenSessions()
     for number in range(1, count + 1):
-        held.handle(0.0, claims.Requested(number, f"token-{number:016x}", True, EXPIRES, False))
-        held.handle(0.0, claims.Plays(number))
+        held.handle(0.0, token_sessions.Requested(number, f"token-{number:016x}", True, EXPIRES, False))
+        held.handle(0.0, token_sessions.Started(number))
     return held
 
 
@@ -97,8 +97,8 @@
     """Claims of paid tokens whose sessions are parked: nothing else of a parked session stays in the core."""
     held = _playing_claims(count)
     for number in range(1, count + 1):
-        place = claims.Place(number % SERVERS, f"d0-{number}-0", f"{PATH_TOKEN}{number}")
-        held.handle(0.0, claims.Parked(number, FAR, place))
+        place = token_sessions.ParkedLocation(number % SERVERS, f"d0-{number}-0", f"{PATH_TOKEN}{number}")
+        held.handle(0.0, token_sessions.Parked(number, FAR, place))
     return held
 
 
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -119,9 +119,9 @@
                 state = {
                     "rss_kb": _rss_kb(),
                     "sessions": len(core.sessions),
-                    "claims": len(core.claims),
-                    "attempts": core.attempts.live,
-                    "ghosts": core.attempts.ghosts,
+                    "claims": len(core.token_sessions),
+                    "attempts": core.attempts.live_count,
+                    "ghosts": core.attempts.orphan_count,
                     "module": len(core.module.sessions),
                     "cpu_s": time.process_time(),
                 }
--- a/foxlift/decide/attempts.py
+++ b/foxlift/decide/attempts.py
@@ -38,22 +38,22 @@
     PLAYING = "playing"
 
 
-class Loss(Enum):
+class CallFailure(Enum):
     """How a call to a box ended without an answer."""
 
     CONNECT = "no connection"
     RESET = "connection lost"
     TIMEOUT = "no answer in time"
-    GARBAGE = "answer cannot be read"
+    UNREADABLE = "answer cannot be read"
     CANCELLED = "called off"
 
 
 _LEFT_OUTCOMES = {
-    Loss.CONNECT: fl.Outcome.RESET,
-    Loss.RESET: fl.Outcome.RESET,
-    Loss.TIMEOUT: fl.Outcome.TIMEOUT,
-    Loss.GARBAGE: fl.Outcome.ERROR,
-    Loss.CANCELLED: fl.Outcome.CANCELLED,
+    CallFailure.CONNECT: fl.Outcome.RESET,
+    CallFailure.RESET: fl.Outcome.RESET,
+    CallFailure.TIMEOUT: fl.Outcome.TIMEOUT,
+    CallFailure.UNREADABLE: fl.Outcome.ERROR,
+    CallFailure.CANCELLED: fl.Outcome.CANCELLED,
 }
 
 
@@ -67,8 +67,8 @@
     node: int
     rung: int
     paid: bool
-    until: float
-    name: str = ""
+    timeout_at: float
+    set_up: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,28 +98,28 @@
     counter: int = 0
     boot: str = ""
     load: fl.Load | None = None
-    when: int = 0  # Unix ms by the box's clock, 0 where it did not say
+    box_time_ms: int = 0  # Unix ms by the box's clock, 0 where it did not say
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class CallFailed:
     """The set-up's call has no answer. `left`: any byte of it was handed to a connection."""
 
     session: int
     attempt: int
-    loss: Loss
-    left: bool
+    failure: CallFailure
+    sent: bool
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class Cancel:
     """Nobody wants the session any more: the viewer left, or the module cancelled or moved it."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rung:
+class SetRung:
     """The module's SetRung."""
 
     session: int
@@ -133,13 +133,13 @@
     session: int
     attempt: int
     outcome: fl.Outcome
-    when: int = 0
+    box_time_ms: int = 0
     parked: bool = False
     load: fl.Load | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Resumes:
+class Resume:
     """A session that plays at a box as attempt 0, handed over from an earlier run or another director.
 
     `name`: its set-up, where it is not of this run; `boot` and `counter` of the box when it said so.
@@ -148,13 +148,13 @@
     session: int
     node: int
     rung: int
-    name: str = ""
+    set_up: str = ""
     boot: str = ""
     counter: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class ReleaseUnwanted:
     """A box holds this set-up for this director, and it is not wanted."""
 
     set_up: str
@@ -162,7 +162,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Renewed:
+class PrefixChanged:
     """This director has begun another run: set-ups from here on bear its prefix, those before keep theirs."""
 
     prefix: str
@@ -178,12 +178,12 @@
 
     node: int
     boot: str | None = None
-    kept: frozenset[str] = frozenset()
+    held: frozenset[str] = frozenset()
     counter: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Drains:
+class BoxDraining:
     """The list says that the box takes nothing new; `gone`: that it is no more."""
 
     node: int
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Serves:
+class BoxReady:
     """The list says that the box takes set-ups."""
 
     node: int
@@ -216,16 +216,16 @@
     | IntentDurable
     | IntentFailed
     | Answered
-    | Lost
-    | CallOff
-    | Rung
+    | CallFailed
+    | Cancel
+    | SetRung
     | EndedAtBox
-    | Resumes
-    | Drop
-    | Renewed
+    | Resume
+    | ReleaseUnwanted
+    | PrefixChanged
     | BoxLost
-    | Drains
-    | Serves
+    | BoxDraining
+    | BoxReady
     | Released
     | ReleaseFailed
 )
@@ -242,18 +242,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class SendSetUp:
     """Send the set-up to the box; it times out at `until`."""
 
     session: int
     attempt: int
     node: int
     rung: int
-    until: float
+    timeout_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class AbortPut:
+class AbortSetUp:
     """Stop the set-up's call, or only if nothing of it has left; what is stopped ends in Lost."""
 
     session: int
@@ -262,7 +262,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PutRung:
+class SendRung:
     """Tell the box the rung of a session that plays."""
 
     session: int
@@ -277,36 +277,36 @@
 
     set_up: str
     node: int
-    again: bool = False
+    retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class TellStarted:
+class ReportStarted:
     """The module's Started; the box's load report is news of the moment."""
 
     session: int
     attempt: int
     node: int
     load: fl.Load | None = None
-    when: int = 0
+    box_time_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class TellEnded:
+class ReportEnded:
     """The module's Ended. `playing`: the set-up had been done."""
 
     session: int
     attempt: int
     node: int
     outcome: fl.Outcome
-    playing: bool
+    had_started: bool
     load: fl.Load | None = None
-    when: int = 0  # by the box's clock; 0: nobody saw the end
+    box_time_ms: int = 0  # by the box's clock; 0: nobody saw the end
     parked: bool = False  # the box let its place go, and keeps the set-up
     set_up: str = ""
 
 
-Action = WriteIntent | Put | AbortPut | PutRung | Release | TellStarted | TellEnded
+Action = WriteIntent | SendSetUp | AbortSetUp | SendRung | Release | ReportStarted | ReportEnded
 
 
 @dataclass(slots=True)
@@ -316,7 +316,7 @@
     node: int
     rung: int
     paid: bool
-    until: float
+    timeout_at: float
     state: _State
     sent_rung: int = -1
     wanted: bool = True
@@ -344,25 +344,25 @@
         match event:
             case Send():
                 return self._send(event)
-            case Serves(node):
+            case BoxReady(node):
                 self._closed.discard(node)
                 return []
-            case Drains():
+            case BoxDraining():
                 return self._drains(event)
             case BoxLost():
                 return self._box_lost(event)
-            case Resumes():
+            case Resume():
                 self._resumes(event)
                 return []
-            case Drop(set_up, node):
+            case ReleaseUnwanted(set_up, node):
                 self._ghosts[set_up] = node
                 return [Release(set_up, node)]
-            case Renewed(prefix):
+            case PrefixChanged(prefix):
                 self._renewed(prefix)
                 return []
-            case CallOff(session):
+            case Cancel(session):
                 return self._call_off(session)
-            case Rung():
+            case SetRung():
                 return self._set_rung(event)
             case Released(set_up):
                 self._ghosts.pop(set_up, None)
@@ -382,19 +382,21 @@
                 return self._end(found, fl.Outcome.NEVER_SENT) if waits else []
             case Answered():
                 return self._answered(found, event)
-            case Lost():
+            case CallFailed():
                 return self._lost(found, event)
             case EndedAtBox():
                 if found.state is not _State.PLAYING:
                     return []
-                return self._end(found, event.outcome, event.load, when=event.when, parked=event.parked)
+                return self._end(
+                    found, event.outcome, event.load, box_time_ms=event.box_time_ms, parked=event.parked
+                )
 
     # ---- What is known ------------------------------------------------------------------------------------
     def set_up_id(self, session: int, attempt: int) -> str:
         """The name of an attempt at its box."""
         return self._names.get((session, attempt)) or f"{self._prefix}-{session}-{attempt}"
 
-    def own(self, set_up: str) -> tuple[int, int] | None:
+    def attempt_of(self, set_up: str) -> tuple[int, int] | None:
         """Session and attempt of a set-up of this run; of one that was taken up again, the present ones."""
         known = self._named.get(set_up)
         if known is not None:
@@ -406,35 +408,35 @@
         found = int(session), int(attempt)
         return found if f"{prefix}-{found[0]}-{found[1]}" == set_up else None
 
-    def knows(self, set_up: str) -> bool:
+    def is_known(self, set_up: str) -> bool:
         """Whether a set-up is out, plays, or is being released."""
-        own = self.own(set_up)
+        own = self.attempt_of(set_up)
         found = None if own is None else self._live.get(own[0])
         return set_up in self._ghosts or (found is not None and own is not None and found.attempt == own[1])
 
-    def plays_at(self, session: int) -> tuple[int, int] | None:
+    def playing_at(self, session: int) -> tuple[int, int] | None:
         """Box and attempt number of a session that plays."""
         found = self._live.get(session)
         return (found.node, found.attempt) if found is not None and found.state is _State.PLAYING else None
 
-    def at(self, node: int) -> int:
+    def count_at(self, node: int) -> int:
         """How many attempts are out or play at a box."""
         return len(self._by_node.get(node, ()))
 
-    def holds(self, session: int) -> bool:
+    def has_attempt(self, session: int) -> bool:
         """Whether an attempt of the session is out or plays."""
         return session in self._live
 
-    def until(self, session: int) -> float:
+    def timeout_at(self, session: int) -> float:
         """When the attempt that is out times out, ms on the module's clock."""
-        return self._live[session].until
+        return self._live[session].timeout_at
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         return len(self._live)
 
     @property
-    def ghosts(self) -> int:
+    def orphan_count(self) -> int:
         return len(self._ghosts)
 
     # ---- Way there ----------------------------------------------------------------------------------------
@@ -442,28 +444,30 @@
         if event.session in self._live:
             # rule 2: never two out at once, whatever the caller thinks
             raise RuntimeError(f"session {event.session} has an attempt out already")
-        named = bool(event.name)
+        named = bool(event.set_up)
         if named:
-            self._names[event.session, event.attempt] = event.name
-            self._named[event.name] = event.session, event.attempt
+            self._names[event.session, event.attempt] = event.set_up
+            self._named[event.set_up] = event.session, event.attempt
         state = _State.INTENT if event.paid and not named else _State.SENT
-        made = _Attempt(event.session, event.attempt, event.node, event.rung, event.paid, event.until, state)
+        made = _Attempt(
+            event.session, event.attempt, event.node, event.rung, event.paid, event.timeout_at, state
+        )
         made.named = named
         self._live[event.session] = made
         self._by_node.setdefault(event.node, set()).add(event.session)
         if state is _State.INTENT:
             return [WriteIntent(event.session, event.attempt, event.node)]
         made.sent_rung = event.rung
-        return [Put(event.session, event.attempt, event.node, event.rung, event.until)]
+        return [SendSetUp(event.session, event.attempt, event.node, event.rung, event.timeout_at)]
 
-    def _resumes(self, event: Resumes) -> None:
+    def _resumes(self, event: Resume) -> None:
         if event.session in self._live:
             raise RuntimeError(f"session {event.session} is known already")
         made = _Attempt(event.session, 0, event.node, event.rung, False, 0.0, _State.PLAYING)
         made.boot, made.counter = event.boot, event.counter
-        if event.name:
-            self._names[event.session, 0] = event.name
-            self._named[event.name] = event.session, 0
+        if event.set_up:
+            self._names[event.session, 0] = event.set_up
+            self._named[event.set_up] = event.session, 0
         self._live[event.session] = made
         self._by_node.setdefault(event.node, set()).add(event.session)
 
@@ -478,10 +482,10 @@
         if found.state is not _State.INTENT:
             return []
         # the list may have changed, and the viewer left, while the disk was slow
-        if found.node in self._closed or now >= found.until or not found.wanted:
+        if found.node in self._closed or now >= found.timeout_at or not found.wanted:
             return self._end(found, fl.Outcome.NEVER_SENT)
         found.state, found.sent_rung = _State.SENT, found.rung
-        return [Put(found.session, found.attempt, found.node, found.rung, found.until)]
+        return [SendSetUp(found.session, found.attempt, found.node, found.rung, found.timeout_at)]
 
     def _answered(self, found: _Attempt, event: Answered) -> list[Action]:
         if found.state is not _State.SENT:
@@ -492,21 +496,21 @@
             return self._end(found, fl.Outcome.CANCELLED, event.load, ghost=True)
         found.state, found.boot, found.counter = _State.PLAYING, event.boot, event.counter
         started: list[Action] = [
-            TellStarted(found.session, found.attempt, found.node, event.load, event.when)
+            ReportStarted(found.session, found.attempt, found.node, event.load, event.box_time_ms)
         ]
         if found.rung != found.sent_rung:
-            started.append(PutRung(found.session, found.attempt, found.node, found.rung))
+            started.append(SendRung(found.session, found.attempt, found.node, found.rung))
         return started
 
-    def _lost(self, found: _Attempt, event: Lost) -> list[Action]:
+    def _lost(self, found: _Attempt, event: CallFailed) -> list[Action]:
         if found.state is not _State.SENT:
             return []
-        if event.left:
-            return self._end(found, _LEFT_OUTCOMES[event.loss], ghost=True)
-        refused = event.loss is Loss.CONNECT
+        if event.sent:
+            return self._end(found, _LEFT_OUTCOMES[event.failure], ghost=True)
+        refused = event.failure is CallFailure.CONNECT
         return self._end(found, fl.Outcome.CONNECT_FAILED if refused else fl.Outcome.NEVER_SENT)
 
-    def _drains(self, event: Drains) -> list[Action]:
+    def _drains(self, event: BoxDraining) -> list[Action]:
         """Only what has not left is stopped: what has left was sent before the drain was heard."""
         self._closed.add(event.node)
         actions: list[Action] = []
@@ -514,7 +518,7 @@
             found = self._live[session]
             if found.state is _State.SENT and not found.draining:
                 found.draining = True
-                actions.append(AbortPut(found.session, found.attempt, if_unsent=True))
+                actions.append(AbortSetUp(found.session, found.attempt, if_unsent=True))
         if event.gone:
             self._ghosts = {ghost: node for ghost, node in self._ghosts.items() if node != event.node}
         return actions
@@ -528,17 +532,17 @@
         if found.state is _State.INTENT:
             return []  # the record is being written: it ends as never sent when that is told
         if found.state is _State.SENT:
-            return [AbortPut(found.session, found.attempt)]
+            return [AbortSetUp(found.session, found.attempt)]
         return self._end(found, fl.Outcome.CANCELLED, ghost=True)
 
-    def _set_rung(self, event: Rung) -> list[Action]:
+    def _set_rung(self, event: SetRung) -> list[Action]:
         found = self._live.get(event.session)
         if found is None or found.rung == event.rung:
             return []
         found.rung = event.rung
         if found.state is not _State.PLAYING:
             return []  # the set-up that is still to leave takes it along
-        return [PutRung(found.session, found.attempt, found.node, event.rung)]
+        return [SendRung(found.session, found.attempt, found.node, event.rung)]
 
     def _box_lost(self, event: BoxLost) -> list[Action]:
         actions: list[Action] = []
@@ -546,7 +550,7 @@
             found = self._live[session]
             if found.state is _State.PLAYING and not self._held(found, event):
                 actions += self._end(found, fl.Outcome.RESET)
-        for set_up in sorted(event.kept):
+        for set_up in sorted(event.held):
             if set_up not in self._ghosts and not self._is_live(set_up, event.node):
                 # the box holds something that nobody here knows of: an answer was lost with its director
                 self._ghosts[set_up] = event.node
@@ -556,15 +560,17 @@
     def _held(self, found: _Attempt, event: BoxLost) -> bool:
         if event.boot is None or found.boot != event.boot:
             return False
-        named = self.set_up_id(found.session, found.attempt) in event.kept
+        named = self.set_up_id(found.session, found.attempt) in event.held
         return named or found.counter > event.counter
 
     def _is_live(self, set_up: str, node: int) -> bool:
-        own = self.own(set_up)
+        own = self.attempt_of(set_up)
         found = None if own is None else self._live.get(own[0])
         return found is not None and own is not None and found.attempt == own[1] and found.node == node
 
-    def _of_a_ghost(self, event: IntentDurable | IntentFailed | Answered | Lost | EndedAtBox) -> list[Action]:
+    def _of_a_ghost(
+        self, event: IntentDurable | IntentFailed | Answered | CallFailed | EndedAtBox
+    ) -> list[Action]:
         """A late word on what was given up; a box that says it is over needs no release."""
         if isinstance(event, EndedAtBox):
             self._ghosts.pop(self.set_up_id(event.session, event.attempt), None)
@@ -576,7 +582,7 @@
         outcome: fl.Outcome,
         load: fl.Load | None = None,
         ghost: bool = False,
-        when: int = 0,
+        box_time_ms: int = 0,
         parked: bool = False,
     ) -> list[Action]:
         playing = found.state is _State.PLAYING
@@ -588,7 +594,9 @@
         if not self._by_node[found.node]:
             del self._by_node[found.node]
         told: list[Action] = [
-            TellEnded(found.session, found.attempt, found.node, outcome, playing, load, when, parked, set_up)
+            ReportEnded(
+                found.session, found.attempt, found.node, outcome, playing, load, box_time_ms, parked, set_up
+            )
         ]
         if ghost and (playing or not found.named):
             self._ghosts[set_up] = found.node
--- a/foxlift/decide/driver.py
+++ b/foxlift/decide/driver.py
@@ -28,8 +28,10 @@
 from foxlift import interface as fl
 from foxlift.logic import Director
 
-WAKE_AGAIN_MS = 100.0  # ms; shorter than any hold, and no load on a loop if the fault lasts
-FAULTS_EVERY_MS = 100.0  # ms; least time between two words on faults: a lasting one must not flood a log
+RETRY_WAKE_MS = 100.0  # ms; shorter than any hold, and no load on a loop if the fault lasts
+FAULT_LOG_INTERVAL_MS = (
+    100.0  # ms; least time between two words on faults: a lasting one must not flood a log
+)
 
 Trace = Callable[[float, fl.Event, list[fl.Action]], None]
 Fault = Callable[[str], None]
@@ -62,7 +64,7 @@
         self._events: deque[fl.Event] = deque()
         self._requests: dict[int, _Request] = {}
         self._now = 0.0
-        self._said_at, self._unsaid = -FAULTS_EVERY_MS, 0
+        self._said_at, self._unsaid = -FAULT_LOG_INTERVAL_MS, 0
 
     @property
     def unanswered(self) -> int:
@@ -74,7 +76,7 @@
         request = self._requests.get(number)
         return request is not None and request.may_have_run
 
-    def tell(self, now: float, event: fl.Event) -> None:
+    def deliver(self, now: float, event: fl.Event) -> None:
         """Tell the module, now or, from inside an action, when its turn comes. `now` in ms."""
         self._events.append(event)
         if len(self._events) > 1:
@@ -82,21 +84,21 @@
         self._now = now
         try:
             while self._events:
-                self._tell(now, self._seen(self._events[0]))
+                self._deliver(now, self._seen(self._events[0]))
                 self._events.popleft()
         except BaseException:
             # what ends the process or a test: nothing of it is told later
             self._events.clear()
             raise
 
-    def _tell(self, now: float, event: fl.Event) -> None:
-        before, failed = self.module.out, False
+    def _deliver(self, now: float, event: fl.Event) -> None:
+        before, failed = self.module.actions, False
         try:
             actions = self.module.handle(now, event)
         except Exception as error:
             failed = True
             self._say(type(event).__name__, error)
-            actions = [] if self.module.out is before else self.module.out
+            actions = [] if self.module.actions is before else self.module.actions
         if self._trace is not None:
             self._trace(now, event, actions)
         for action in actions:
@@ -153,7 +155,7 @@
             case fl.Wake(token):
                 for number in filter(self._waits, list(self._requests)):
                     self._give_up(number)
-                self._do(fl.SetTimer(WAKE_AGAIN_MS, token))
+                self._do(fl.SetTimer(RETRY_WAKE_MS, token))
             case fl.NodeList(kind, nodes) if len(nodes) > 1 or kind is not fl.ListKind.DELTA:
                 self._list_by_line(kind, nodes)
 
@@ -184,7 +186,7 @@
         self._events.extend(fl.NodeList(fl.ListKind.DELTA, (line,)) for line in lines)
 
     def _say(self, what: str, error: Exception) -> None:
-        if self._now - self._said_at < FAULTS_EVERY_MS:
+        if self._now - self._said_at < FAULT_LOG_INTERVAL_MS:
             self._unsaid += 1
             return
         more = f", {self._unsaid} more before" if self._unsaid else ""
--- a/foxlift/decide/links.py
+++ b/foxlift/decide/links.py
@@ -26,22 +26,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class StreamNeeded:
     """A session is out to the box."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unwanted:
+class StreamUnneeded:
     """Nothing is there any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Greeted:
+class HelloReceived:
     """The stream has begun with hello."""
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class StreamBroken:
     """The stream ended, could not be opened, or could not be read."""
 
 
@@ -49,17 +49,17 @@
 class RetryDue:
     """The wait before another try is over."""
 
-    turn: int
+    generation: int
 
 
 @dataclass(frozen=True, slots=True)
-class LossDue:
+class LossTimeout:
     """The time is up after which silence counts as loss."""
 
-    turn: int
+    generation: int
 
 
-Event = Wanted | Unwanted | Greeted | Broken | RetryDue | LossDue
+Event = StreamNeeded | StreamUnneeded | HelloReceived | StreamBroken | RetryDue | LossTimeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,32 +73,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retry:
+class StartRetryTimer:
     """Send RetryDue after so many milliseconds."""
 
     delay_ms: float
-    turn: int
+    generation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Await:
+class StartLossTimer:
     """Send LossDue after so many milliseconds."""
 
     delay_ms: float
-    turn: int
+    generation: int
 
 
 @dataclass(frozen=True, slots=True)
-class AllLost:
+class AllSessionsLost:
     """Every session at the box is lost."""
 
 
 @dataclass(frozen=True, slots=True)
-class Compare:
+class CompareSessions:
     """Sessions that hello does not name, or of another process than its own, are lost."""
 
 
-Action = OpenStream | CloseStream | Retry | Await | AllLost | Compare
+Action = OpenStream | CloseStream | StartRetryTimer | StartLossTimer | AllSessionsLost | CompareSessions
 
 
 class Link:
@@ -107,7 +107,7 @@
     def __init__(self, retry_ms: float, lost_after_ms: float) -> None:
         self._retry_ms, self._lost_after_ms = retry_ms, lost_after_ms
         self._state = _State.CLOSED
-        self._turn = 0  # a timer of an earlier break says nothing of this one
+        self._generation = 0  # a timer of an earlier break says nothing of this one
         self._silent = False
 
     @property
@@ -118,22 +118,22 @@
     def handle(self, event: Event) -> list[Action]:
         """Take one event in; the caller keeps the waits."""
         match event:
-            case Wanted():
+            case StreamNeeded():
                 return self._wanted()
-            case Unwanted():
+            case StreamUnneeded():
                 return self._unwanted()
-            case Greeted():
+            case HelloReceived():
                 return self._greeted()
-            case Broken():
+            case StreamBroken():
                 return self._broken()
-            case RetryDue(turn):
-                if self._state is _State.BROKEN and turn == self._turn:
+            case RetryDue(generation):
+                if self._state is _State.BROKEN and generation == self._generation:
                     self._state = _State.OPENING
                     return [OpenStream()]
                 return []
-            case LossDue(turn):
-                if self._silent and turn == self._turn:
-                    return [AllLost(), Await(self._lost_after_ms, self._turn)]
+            case LossTimeout(generation):
+                if self._silent and generation == self._generation:
+                    return [AllSessionsLost(), StartLossTimer(self._lost_after_ms, self._generation)]
                 return []
 
     def _wanted(self) -> list[Action]:
@@ -145,15 +145,15 @@
     def _unwanted(self) -> list[Action]:
         open_now = self._state in (_State.OPEN, _State.OPENING)
         self._state, self._silent = _State.CLOSED, False
-        self._turn += 1
+        self._generation += 1
         return [CloseStream()] if open_now else []
 
     def _greeted(self) -> list[Action]:
         if self._state is not _State.OPENING:
             return []
         self._state, self._silent = _State.OPEN, False
-        self._turn += 1
-        return [Compare()]
+        self._generation += 1
+        return [CompareSessions()]
 
     def _broken(self) -> list[Action]:
         if self._state not in (_State.OPEN, _State.OPENING):
@@ -161,11 +161,11 @@
         was_open = self._state is _State.OPEN
         self._state = _State.BROKEN
         wait = self._fall_silent()
-        return [*wait, Retry(0.0 if was_open else self._retry_ms, self._turn)]
+        return [*wait, StartRetryTimer(0.0 if was_open else self._retry_ms, self._generation)]
 
     def _fall_silent(self) -> list[Action]:
         if self._silent:
             return []
         self._silent = True
-        self._turn += 1
-        return [Await(self._lost_after_ms, self._turn)]
+        self._generation += 1
+        return [StartLossTimer(self._lost_after_ms, self._generation)]
--- a/foxlift/decide/claims.py
+++ b/foxlift/decide/token_sessions.py
@@ -59,20 +59,20 @@
     SPENT = "spent"
 
 
-class Why(Enum):
+class RejectionReason(Enum):
     """Why a request is answered without a session."""
 
     EXPIRED = "the token has expired"
-    FAILED = "an earlier set-up for this token may have run"
-    PLAYED = "the session of this token is over"
-    BUSY = "the session of this token is being called off"
-    FLOOD = "too many requests wait on this token"
-    UNREACHED = "nobody can tell now who has the session of this token"
+    MAY_HAVE_RUN = "an earlier set-up for this token may have run"
+    SESSION_OVER = "the session of this token is over"
+    CANCELLING = "the session of this token is being called off"
+    TOO_MANY_WAITING = "too many requests wait on this token"
+    OWNER_UNREACHABLE = "nobody can tell now who has the session of this token"
     NOT_HERE = "the session of this token is not here"
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ParkedLocation:
     """Where a paid session is parked: its box, its set-up there, and the token of its segments' path."""
 
     node: int
@@ -93,14 +93,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HungUp:
+class ClientDisconnected:
     """The request's client left before its answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Plays:
+class Started:
     """The session's set-up is done."""
 
     session: int
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class Ended:
     """Nothing of the session is out or playing any more. `ran`: False only where that is proved."""
 
     session: int
@@ -134,18 +134,18 @@
 
     session: int
     until: float
-    place: Place
+    place: ParkedLocation
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
+class ParkedSetUpGone:
     """The box does not have what was to be taken up again."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class Restored:
     """A spent token as the record of paid set-ups shows it at the start."""
 
     token: str
@@ -154,14 +154,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class OwnedElsewhere:
     """The session is not to be here: its token is claimed elsewhere, or it was taken over."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class ParkedTakenOver:
     """What is parked under this set-up was taken over by another director."""
 
     set_up: str
@@ -174,38 +174,38 @@
     token: str
     paid: bool
     expires: float
-    place: Place
+    place: ParkedLocation
     until: float = 0.0
 
 
 Event = (
     Requested
-    | HungUp
-    | Plays
+    | ClientDisconnected
+    | Started
     | Refused
     | Failed
-    | Over
+    | Ended
     | Parked
-    | Lapsed
-    | Recalled
-    | Elsewhere
-    | Lost
+    | ParkedSetUpGone
+    | Restored
+    | OwnedElsewhere
+    | ParkedTakenOver
     | Adopt
 )
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenSession:
     """Ask the module for a session on behalf of this request; `place`: take the set-up parked there up."""
 
     session: int
     request: int
-    place: Place | None = None
+    place: ParkedLocation | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Show:
+class SendManifest:
     """Answer with the session's manifest."""
 
     request: int
@@ -213,7 +213,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellRefused:
+class AnswerRefused:
     """Answer that the session is refused."""
 
     request: int
@@ -221,7 +221,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellFailed:
+class AnswerFailed:
     """Answer that the session failed."""
 
     request: int
@@ -229,11 +229,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnDown:
+class Reject:
     """Answer at once, without a session."""
 
     request: int
-    why: Why
+    reason: RejectionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -244,7 +244,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
+class Forward:
     """Somebody else answers this request, or knows what became of its session."""
 
     request: int
@@ -252,7 +252,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAbout:
+class QueryOwner:
     """Whether it still plays, and where, is not known here: its register and its box know."""
 
     request: int
@@ -266,12 +266,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Superfluous:
+class DuplicateSetUp:
     """The token's session plays here already, as another set-up: the adopted one is not wanted."""
 
 
 Action = (
-    Open | Show | TellRefused | TellFailed | TurnDown | Withdraw | PassOn | AskAbout | Adopted | Superfluous
+    OpenSession
+    | SendManifest
+    | AnswerRefused
+    | AnswerFailed
+    | Reject
+    | Withdraw
+    | Forward
+    | QueryOwner
+    | Adopted
+    | DuplicateSetUp
 )
 
 
@@ -285,11 +294,11 @@
     waiting: list[int] = field(default_factory=list)
     played: bool = False
     parked_until: float = 0.0  # above 0: what it asks for is taken up again, not set up
-    place: Place | None = None  # where; forgotten with the claim
+    place: ParkedLocation | None = None  # where; forgotten with the claim
     recalled: bool = False
 
 
-class Claims:
+class TokenSessions:
     """Every token that this director has to remember. `fleet`: whether others take over what it leaves."""
 
     def __init__(self, fleet: bool = False) -> None:
@@ -309,12 +318,12 @@
         match event:
             case Requested():
                 return self._requested(now, event)
-            case HungUp():
+            case ClientDisconnected():
                 return self._hung_up(event.request)
-            case Recalled():
+            case Restored():
                 self._recalled(event)
                 return []
-            case Lost(set_up):
+            case ParkedTakenOver(set_up):
                 self._lost(set_up)
                 return []
             case Adopt():
@@ -323,7 +332,7 @@
         if claim is None:
             return []
         match event:
-            case Plays():
+            case Started():
                 return self._plays(claim)
             case Refused():
                 return self._refused(claim)
@@ -332,11 +341,11 @@
             case Parked(_, until, place):
                 claim.place = place
                 self._park(claim, until)
-            case Lapsed():
+            case ParkedSetUpGone():
                 return self._lapsed(claim)
-            case Elsewhere():
+            case OwnedElsewhere():
                 return self._elsewhere(claim)
-            case Over():
+            case Ended():
                 self._over(claim, event.ran)
         return []
 
@@ -344,7 +353,7 @@
         """Whether a request with this token would open a session."""
         return token not in self._by_token
 
-    def playing(self, token: str) -> int | None:
+    def playing_session(self, token: str) -> int | None:
         """The session that plays on a token."""
         claim = self._by_token.get(token)
         return claim.session if claim is not None and claim.state is _State.PLAYING else None
@@ -354,35 +363,45 @@
         claim = self._by_token.get(event.token)
         if claim is None:
             if event.expired:
-                return [TurnDown(event.request, Why.EXPIRED)]
+                return [Reject(event.request, RejectionReason.EXPIRED)]
             return self._open(event)
         match claim.state:
             case _State.ASKED:
                 if len(claim.waiting) >= MAX_WAITING:
-                    return [TurnDown(event.request, Why.FLOOD)]
+                    return [Reject(event.request, RejectionReason.TOO_MANY_WAITING)]
                 claim.waiting.append(event.request)
                 self._by_request[event.request] = claim
                 return []
             case _State.PLAYING:
-                return [Show(event.request, claim.session)]
+                return [SendManifest(event.request, claim.session)]
             case _State.LEFT:
-                return [TurnDown(event.request, Why.FAILED if claim.paid else Why.BUSY)]
+                return [
+                    Reject(
+                        event.request,
+                        RejectionReason.MAY_HAVE_RUN if claim.paid else RejectionReason.CANCELLING,
+                    )
+                ]
             case _State.PARKED:
                 return self._take_up(now, claim, event.request)
             case _State.SPENT if self._fleet and (claim.recalled or not claim.played):
-                return [AskAbout(event.request)]
+                return [QueryOwner(event.request)]
             case _State.SPENT:
-                return [TurnDown(event.request, Why.PLAYED if claim.played else Why.FAILED)]
+                return [
+                    Reject(
+                        event.request,
+                        RejectionReason.SESSION_OVER if claim.played else RejectionReason.MAY_HAVE_RUN,
+                    )
+                ]
 
     def _take_up(self, now: float, claim: _Claim, request: int) -> list[Action]:
         if now >= claim.parked_until:
             self._spend(claim)
-            return [TurnDown(request, Why.PLAYED)]
+            return [Reject(request, RejectionReason.SESSION_OVER)]
         self._last_session += 1
         claim.session, claim.state, claim.waiting = self._last_session, _State.ASKED, [request]
         self._by_session[claim.session] = claim
         self._by_request[request] = claim
-        return [Open(claim.session, request, claim.place)]
+        return [OpenSession(claim.session, request, claim.place)]
 
     def _open(self, event: Requested) -> list[Action]:
         self._last_session += 1
@@ -390,7 +409,7 @@
         self._by_token[event.token] = claim
         self._by_session[claim.session] = claim
         self._by_request[event.request] = claim
-        return [Open(claim.session, event.request)]
+        return [OpenSession(claim.session, event.request)]
 
     def _hung_up(self, request: int) -> list[Action]:
         claim = self._by_request.pop(request, None)
@@ -414,11 +433,11 @@
             return []  # its viewer left while the answer was on its way
         claim.state, claim.played, claim.parked_until = _State.PLAYING, True, 0.0
         claim.place = None
-        return [Show(request, claim.session) for request in self._release(claim)]
+        return [SendManifest(request, claim.session) for request in self._release(claim)]
 
     def _refused(self, claim: _Claim) -> list[Action]:
         if claim.state is _State.ASKED:
-            answers: list[Action] = [TellRefused(r, claim.session) for r in self._release(claim)]
+            answers: list[Action] = [AnswerRefused(r, claim.session) for r in self._release(claim)]
             if claim.parked_until:
                 self._park(claim, claim.parked_until)
             else:
@@ -429,7 +448,7 @@
     def _failed(self, claim: _Claim) -> list[Action]:
         if claim.state is not _State.ASKED:
             return []
-        answers: list[Action] = [TellFailed(r, claim.session) for r in self._release(claim)]
+        answers: list[Action] = [AnswerFailed(r, claim.session) for r in self._release(claim)]
         if claim.parked_until:
             self._park(claim, claim.parked_until)
         else:
@@ -445,7 +464,7 @@
         heapq.heappush(self._spent, (max(until, claim.expires), claim.token))
 
     def _lapsed(self, claim: _Claim) -> list[Action]:
-        answers: list[Action] = [TurnDown(r, Why.PLAYED) for r in self._release(claim)]
+        answers: list[Action] = [Reject(r, RejectionReason.SESSION_OVER) for r in self._release(claim)]
         self._spend(claim)
         return answers
 
@@ -475,7 +494,7 @@
     def _elsewhere(self, claim: _Claim) -> list[Action]:
         waiting, session = self._release(claim), claim.session
         self._drop(claim)
-        return [PassOn(request, session) for request in waiting]
+        return [Forward(request, session) for request in waiting]
 
     def _lost(self, set_up: str) -> None:
         for claim in list(self._by_token.values()):
@@ -488,7 +507,7 @@
         waiting: list[int] = []
         actions: list[Action] = []
         if claim is not None and claim.state is _State.PLAYING:
-            return [Superfluous()]
+            return [DuplicateSetUp()]
         if claim is not None and claim.state is _State.ASKED:
             waiting = self._release(claim)
             claim.state = _State.LEFT
@@ -500,12 +519,12 @@
         if event.until:
             # whoever waits asks once more, and takes it up from here
             self._park(made, event.until)
-            return [*actions, *(AskAbout(request) for request in waiting)]
+            return [*actions, *(QueryOwner(request) for request in waiting)]
         self._by_session[made.session] = made
-        shown = [Show(request, made.session) for request in waiting]
+        shown = [SendManifest(request, made.session) for request in waiting]
         return [*actions, Adopted(made.session), *shown]
 
-    def _recalled(self, event: Recalled) -> None:
+    def _recalled(self, event: Restored) -> None:
         claim = _Claim(event.token, True, event.expires, 0, _State.SPENT, played=event.played)
         claim.recalled = True
         self._by_token[event.token] = claim
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -9,7 +9,7 @@
 import structlog
 
 from foxlift.config import DirectorConfig
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events as ev
 from foxlift.director.authorizer import ManifestRequest, back_url, manifest_url
 from foxlift.http import Exchange, Headers
@@ -20,14 +20,18 @@
 MPD: Headers = (("content-type", "application/dash+xml"), ("cache-control", "no-store"))
 
 # status, title, seconds to come back after
-_DOWN: dict[Why, tuple[int, str, int | None]] = {
-    Why.EXPIRED: (403, "the token has expired", None),
-    Why.FAILED: (502, "the session may have been set up already; this token starts no other", None),
-    Why.PLAYED: (410, "the session of this token is over", None),
-    Why.BUSY: (503, "the session of this token is being called off", 1),
-    Why.FLOOD: (429, "too many requests wait on this token", 1),
-    Why.UNREACHED: (503, "nobody can tell now who has the session of this token", 1),
-    Why.NOT_HERE: (421, "the session of this token is not here", None),
+_DOWN: dict[RejectionReason, tuple[int, str, int | None]] = {
+    RejectionReason.EXPIRED: (403, "the token has expired", None),
+    RejectionReason.MAY_HAVE_RUN: (
+        502,
+        "the session may have been set up already; this token starts no other",
+        None,
+    ),
+    RejectionReason.SESSION_OVER: (410, "the session of this token is over", None),
+    RejectionReason.CANCELLING: (503, "the session of this token is being called off", 1),
+    RejectionReason.TOO_MANY_WAITING: (429, "too many requests wait on this token", 1),
+    RejectionReason.OWNER_UNREACHABLE: (503, "nobody can tell now who has the session of this token", 1),
+    RejectionReason.NOT_HERE: (421, "the session of this token is not here", None),
 }
 
 
@@ -190,7 +194,7 @@
         """Answer 504: it may have been set up."""
         self._tell(request, 504, "the session could not be set up in time", session=session)
 
-    def down(self, request: int, why: Why, come_back_ms: float = 0.0) -> None:
+    def down(self, request: int, why: RejectionReason, come_back_ms: float = 0.0) -> None:
         """Answer without a session."""
         status, title, seconds = _DOWN[why]
         if come_back_ms > 0:
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -10,7 +10,7 @@
 
 from foxlift.accord import holders_of
 from foxlift.boxes.takeover import TakeAnswer
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.membership import Membership
@@ -26,10 +26,10 @@
 MISDIRECTED = 421  # status of a peer that does not answer a forwarded request
 _HINT = re.compile(r"^([A-Za-z0-9._-]{1,100})/(\d{1,16})/([A-Za-z0-9._-]{1,100})/([A-Za-z0-9._~-]{1,200})$")
 _REASONS = {
-    Verdict.PLAYED: Why.PLAYED,
-    Verdict.FAILED: Why.FAILED,
-    Verdict.NOT_HERE: Why.NOT_HERE,
-    Verdict.COME_BACK: Why.UNREACHED,
+    Verdict.PLAYED: RejectionReason.SESSION_OVER,
+    Verdict.FAILED: RejectionReason.MAY_HAVE_RUN,
+    Verdict.NOT_HERE: RejectionReason.NOT_HERE,
+    Verdict.COME_BACK: RejectionReason.OWNER_UNREACHABLE,
 }
 
 
@@ -84,7 +84,7 @@
             no_quorum=partial(tell, Verdict.COME_BACK),
         )
         if not self._token_claims.query(token, expires, outcome):
-            self._host.turn_down(request, Why.FAILED, 0.0)
+            self._host.turn_down(request, RejectionReason.MAY_HAVE_RUN, 0.0)
 
     def forward_to_any(self, request: int, token: str) -> bool:
         """Have another director answer a request that this one, which is stopping, takes no more."""
@@ -159,4 +159,4 @@
         elif self._routes.knows(request):
             self._handle(route.NotPassed(request))
         else:
-            self._host.turn_down(request, Why.UNREACHED, self.come_back_ms())
+            self._host.turn_down(request, RejectionReason.OWNER_UNREACHABLE, self.come_back_ms())
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -22,7 +22,7 @@
 )
 from foxlift.catalogue import Catalogue
 from foxlift.config import DirectorConfig
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.director.answers import Answers, Held
 from foxlift.director.cluster.messages import JSON_HEADERS, WAITED_HEADER
@@ -150,7 +150,7 @@
         """See `Host`."""
         self.daemon.ask_core(request)
 
-    def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
+    def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """See `Host`."""
         self.daemon.counters.add("turned down", why.value)
         self.daemon.answers.down(request, why, come_back_ms)
@@ -190,7 +190,7 @@
         """Whether the request's own hint has it looked for elsewhere first."""
         held = self.daemon.answers.held[number]
         hinted = self.service.forwarder.read_hint(held.wanted.hint) if held.wanted.hint else None
-        if hinted is None or not self.daemon.core.claims.is_new(held.wanted.token.id):
+        if hinted is None or not self.daemon.core.token_sessions.is_new(held.wanted.token.id):
             return False
         if hinted.owner == self.daemon.config.name and hinted.run == self.boot_epoch:
             return False
@@ -210,7 +210,7 @@
             return None
         held.routed += 1
         if held.routed > MAX_ROUTINGS:
-            self.turn_down(number, Why.FAILED, 0.0)
+            self.turn_down(number, RejectionReason.MAY_HAVE_RUN, 0.0)
             return None
         return held
 
@@ -241,7 +241,7 @@
         held = self._routed(number)
         if held is None:
             return
-        if self.daemon.core.claims.is_new(token):
+        if self.daemon.core.token_sessions.is_new(token):
             self.daemon.ask_core(number)
             return
         if known is None:
@@ -364,7 +364,7 @@
             if left is not None and left.began <= gone.at:
                 daemon.journal.handle(int(daemon.timeline.now()), Ended(gone.at, gone.set_up))
         adoptees = tuple(filter(None, (self._adoptee(box, held) for held in answer.sessions)))
-        new = [one for one in adoptees if not daemon.core.attempts.knows(one.set_up)]
+        new = [one for one in adoptees if not daemon.core.attempts.is_known(one.set_up)]
         if adoptees:
             daemon.feed(events.Adopted(node, answer.boot, answer.counter, adoptees))
         for one in new:
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from foxlift.boxes.takeover import TakeAnswer, TakeOrder
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.http import Answer, Exchange, Failure, Headers
 from foxlift.zones.evidence import Sight
@@ -32,7 +32,7 @@
     def open_here(self, request: int) -> None:
         """Have the core answer the request."""
 
-    def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
+    def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """Answer the request without a session; `come_back_ms` 0: no time to come back after."""
 
     def relay(self, request: int, answer: Answer) -> None:
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -23,15 +23,15 @@
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
 
 _LOSSES = {
-    FailureKind.CONNECT: attempts.Loss.CONNECT,
-    FailureKind.RESET: attempts.Loss.RESET,
-    FailureKind.TIMEOUT: attempts.Loss.TIMEOUT,
-    FailureKind.GARBAGE: attempts.Loss.GARBAGE,
-    FailureKind.TOO_LARGE: attempts.Loss.GARBAGE,
-    FailureKind.CANCELLED: attempts.Loss.CANCELLED,
+    FailureKind.CONNECT: attempts.CallFailure.CONNECT,
+    FailureKind.RESET: attempts.CallFailure.RESET,
+    FailureKind.TIMEOUT: attempts.CallFailure.TIMEOUT,
+    FailureKind.GARBAGE: attempts.CallFailure.UNREADABLE,
+    FailureKind.TOO_LARGE: attempts.CallFailure.UNREADABLE,
+    FailureKind.CANCELLED: attempts.CallFailure.CANCELLED,
 }
 
-Command = events.PutSetUp | events.ChangeRung | attempts.AbortPut | attempts.Release
+Command = events.PutSetUp | events.ChangeRung | attempts.AbortSetUp | attempts.Release
 AttemptKey = tuple[int, int]  # session, attempt
 
 
@@ -60,7 +60,7 @@
                 self._resume(command)
             case events.ChangeRung():
                 self._change_rung(command)
-            case attempts.AbortPut():
+            case attempts.AbortSetUp():
                 self._abort(command)
             case attempts.Release():
                 self._release(command)
@@ -143,7 +143,7 @@
             timeout_ms=timeout_ms,
         )
 
-    def _abort(self, abort: attempts.AbortPut) -> None:
+    def _abort(self, abort: attempts.AbortSetUp) -> None:
         call = self.set_ups.get((abort.session, abort.attempt))
         if call is not None and not (abort.if_unsent and call.left):
             call.cancel()
@@ -165,16 +165,16 @@
                 timeout_ms=COMMAND_TIMEOUT_MS,
             )
 
-        if release.again:
+        if release.retry:
             self._timeline.later(self._config.boxes.release_retry_ms, send)
         else:
             send()
 
 
-def _outcome_of(key: AttemptKey, result: Answer | Failure) -> attempts.Answered | attempts.Lost:
+def _outcome_of(key: AttemptKey, result: Answer | Failure) -> attempts.Answered | attempts.CallFailed:
     """What the end of a set-up's call says of the attempt."""
     if isinstance(result, Failure):
-        return attempts.Lost(*key, _LOSSES[result.kind], result.left)
+        return attempts.CallFailed(*key, _LOSSES[result.kind], result.left)
     load = read_load(result.header(LOAD_HEADER))
     if result.status not in (200, 201):
         outcome = box_outcome(result.status, result.header("foxlift-refusal"))
@@ -182,5 +182,5 @@
     done = read_set_up(result.body)
     if done is None:
         # it says done, but not how it may be known: not to be trusted with a viewer
-        return attempts.Lost(*key, attempts.Loss.GARBAGE, True)
+        return attempts.CallFailed(*key, attempts.CallFailure.UNREADABLE, True)
     return attempts.Answered(*key, True, fl.Outcome.OK, done.counter, done.boot, load, done.at)
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -18,8 +18,8 @@
 from foxlift.boxes import Delivered, EndedThere, Hello, LinkUse, RungThere, TakenThere
 from foxlift.config import DirectorConfig, module_settings
 from foxlift.decide import attempts as at
-from foxlift.decide import claims as cl
 from foxlift.decide import links as ln
+from foxlift.decide import token_sessions as ts
 from foxlift.decide.driver import Driver, Trace
 from foxlift.director import events as ev
 from foxlift.logic import Director
@@ -50,7 +50,11 @@
     SILENT = "silent"
 
 
-LOSSES = {at.Loss.CONNECT: Met.REFUSED, at.Loss.RESET: Met.REFUSED, at.Loss.TIMEOUT: Met.SILENT}
+LOSSES = {
+    at.CallFailure.CONNECT: Met.REFUSED,
+    at.CallFailure.RESET: Met.REFUSED,
+    at.CallFailure.TIMEOUT: Met.SILENT,
+}
 
 
 ENDED = {
@@ -78,7 +82,7 @@
         self.settings = module_settings(config)
         self.module = make(self.settings, config.seed)
         self._driver = Driver(self.module, self._carry_out, self._fault, trace)
-        self.claims = cl.Claims(config.peers.on)
+        self.token_sessions = ts.TokenSessions(config.peers.on)
         self.attempts = at.Attempts(f"{config.name}.{run}")
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
@@ -116,20 +120,20 @@
             case ev.ManifestAsked():
                 self._manifest_asked(event)
             case ev.ClientGone(request):
-                self._claim(cl.HungUp(request))
+                self._claim(ts.ClientDisconnected(request))
             case ev.Notice(node, notice):
                 self._notice(node, notice)
             case ev.PlaceGone(number):
                 self._place_gone(number)
             case ev.StreamBroken(node):
-                self._link(node, ln.Broken())
+                self._link(node, ln.StreamBroken())
             case ev.LinkTimer(node, timer):
                 self._link(node, timer)
             case ev.TimerDue(token):
                 self._tell(fl.Wake(token))
             case ev.Remembered(known):
                 played = known.verdict in (Verdict.STARTED, Verdict.ENDED)
-                self._claim(cl.Recalled(known.token, known.expires, played))
+                self._claim(ts.Restored(known.token, known.expires, played))
                 # a death may have come between the box's answer and the ledger's record of it
                 ends = int(known.expires * 1000)
                 ran = lg.Ran(int(now), known.set_up, known.token, known.tenant, known.klass, not played, ends)
@@ -140,7 +144,7 @@
                 self._adopted(event)
             case ev.Renewed(run):
                 self.run = run
-                self._attempt(at.Renewed(f"{self.config.name}.{run}"))
+                self._attempt(at.PrefixChanged(f"{self.config.name}.{run}"))
             case ev.NotOwner(set_up):
                 self._taken(set_up, 0)
             case ev.PlanInForce(shares):
@@ -151,25 +155,25 @@
                 at.IntentDurable()
                 | at.IntentFailed()
                 | at.Answered()
-                | at.Lost()
+                | at.CallFailed()
                 | at.Released()
                 | at.ReleaseFailed()
             ):
-                if isinstance(event, at.Answered | at.Lost):
+                if isinstance(event, at.Answered | at.CallFailed):
                     self._met(event)
                 self._attempt(event)
         return self._out
 
     # ---- What is seen of zones ----------------------------------------------------------------------------
-    def _met(self, event: at.Answered | at.Lost) -> None:
+    def _met(self, event: at.Answered | at.CallFailed) -> None:
         """A box has answered, or has not: kept for what this director reports of its zone."""
         session = self.sessions.get(event.session)
         if session is None or not self.config.peers.makers:
             return
         if isinstance(event, at.Answered):
             self._mets[session.node] = Met.ANSWERED, self._now
-        elif event.loss in LOSSES:
-            self._mets[session.node] = LOSSES[event.loss], self._now
+        elif event.failure in LOSSES:
+            self._mets[session.node] = LOSSES[event.failure], self._now
 
     def sights(self, now: float) -> dict[str, Sight]:
         """What this director sees of each zone that it has lately met a box of."""
@@ -204,7 +208,7 @@
 
     def playing(self, token: str) -> ev.Session | None:
         """The session that a token's holder would be shown now."""
-        number = self.claims.playing(token)
+        number = self.token_sessions.playing_session(token)
         return None if number is None else self.sessions.get(number)
 
     def set_up_of(self, session: ev.Session) -> str:
@@ -221,28 +225,28 @@
         token = asked.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         self._asked[asked.request] = asked
-        self._claim(cl.Requested(asked.request, token.id, paid, token.expires, asked.expired))
+        self._claim(ts.Requested(asked.request, token.id, paid, token.expires, asked.expired))
         self._asked.pop(asked.request, None)
 
-    def _claim(self, event: cl.Event) -> None:
-        for action in self.claims.handle(self._now / 1000, event):
+    def _claim(self, event: ts.Event) -> None:
+        for action in self.token_sessions.handle(self._now / 1000, event):
             match action:
-                case cl.Open(session, request, place):
+                case ts.OpenSession(session, request, place):
                     self._open(session, self._asked[request], place)
-                case cl.Show(request, session):
+                case ts.SendManifest(request, session):
                     self._out.append(ev.ShowManifest(request, self.sessions[session]))
-                case cl.TellFailed(request, session):
+                case ts.AnswerFailed(request, session):
                     self._out.append(ev.AnswerFailed(request, session))
-                case cl.TurnDown(request, why):
+                case ts.Reject(request, why):
                     self._out.append(ev.AnswerDown(request, why))
-                case cl.Withdraw(session):
+                case ts.Withdraw(session):
                     self._withdraw(session)
-                case cl.AskAbout(request):
+                case ts.QueryOwner(request):
                     self._out.append(ev.AskAbout(request, self._token_of(request)))
-                case cl.TellRefused() | cl.PassOn() | cl.Adopted() | cl.Superfluous():
+                case ts.AnswerRefused() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
                     raise AssertionError("told by whoever asked for it")
 
-    def _open(self, number: int, asked: ev.ManifestAsked, place: cl.Place | None) -> None:
+    def _open(self, number: int, asked: ev.ManifestAsked, place: ts.ParkedLocation | None) -> None:
         token, title = asked.token, asked.title
         klass = self._classes[token.klass]
         terms = self.settings.classes[klass]
@@ -290,17 +294,17 @@
         session = self.sessions[number]
         session.withdrawn = True
         self._tell(fl.Withdrawn(number))
-        self._attempt(at.CallOff(number))
-        if number in self.sessions and not self.attempts.holds(number):
+        self._attempt(at.Cancel(number))
+        if number in self.sessions and not self.attempts.has_attempt(number):
             self._over(session, ran=False)
 
     def _place_gone(self, number: int) -> None:
         session = self.sessions.get(number)
         if session is None:
             return
-        self._claim(cl.Lapsed(number))
+        self._claim(ts.ParkedSetUpGone(number))
         self._tell(fl.Withdrawn(number))
-        if self.attempts.holds(number):
+        if self.attempts.has_attempt(number):
             session.withdrawn = True  # its attempt ends with the answer that told this
         else:
             self._over(session, ran=True)
@@ -313,19 +317,27 @@
     def _claimed_elsewhere(self, event: ev.ClaimedElsewhere) -> None:
         """A paid session's token is another's: its requests go there, and the module forgets it."""
         session = self.sessions.get(event.session)
-        if session is None or not self.attempts.holds(event.session) or session.attempt != event.attempt:
+        if (
+            session is None
+            or not self.attempts.has_attempt(event.session)
+            or session.attempt != event.attempt
+        ):
             return
         session.unclaimed = session.withdrawn = True
-        for action in self.claims.handle(self._now / 1000, cl.Elsewhere(event.session)):
-            if isinstance(action, cl.PassOn):
+        for action in self.token_sessions.handle(self._now / 1000, ts.OwnedElsewhere(event.session)):
+            if isinstance(action, ts.Forward):
                 passed = ev.PassOn(action.request, event.claim)
-                self._out.append(passed if event.reached else ev.AnswerDown(action.request, cl.Why.UNREACHED))
+                self._out.append(
+                    passed
+                    if event.reached
+                    else ev.AnswerDown(action.request, ts.RejectionReason.OWNER_UNREACHABLE)
+                )
         self._tell(fl.Withdrawn(event.session))
         self._attempt(at.IntentFailed(event.session, event.attempt))
 
     def _adopted(self, event: ev.Adopted) -> None:
         for one in event.sessions:
-            if self.attempts.knows(one.set_up):
+            if self.attempts.is_known(one.set_up):
                 self._confirm(event.node, one)
             elif one.token.klass in self._classes:
                 self._adopt(event, one)
@@ -333,7 +345,7 @@
 
     def _confirm(self, node: int, one: ev.Adoptee) -> None:
         """A session of this director under its new run: what was ordered meanwhile was refused."""
-        own = self.attempts.own(one.set_up)
+        own = self.attempts.attempt_of(one.set_up)
         session = self.sessions.get(own[0]) if own is not None else None
         if session is not None and not one.until and session.rung != one.rung:
             booked = self.booked(session, session.rung)
@@ -343,19 +355,19 @@
         """Go on with a session where its last owner left it; its box says since when."""
         token = one.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
-        place = cl.Place(event.node, one.set_up, one.path_token)
-        adopt = cl.Adopt(token.id, paid, token.expires, place, one.until)
-        for action in self.claims.handle(self._now / 1000, adopt):
+        place = ts.ParkedLocation(event.node, one.set_up, one.path_token)
+        adopt = ts.Adopt(token.id, paid, token.expires, place, one.until)
+        for action in self.token_sessions.handle(self._now / 1000, adopt):
             match action:
-                case cl.Withdraw(session):
+                case ts.Withdraw(session):
                     self._withdraw(session)
-                case cl.Superfluous():
-                    self._attempt(at.Drop(one.set_up, event.node))
-                case cl.Adopted(number):
+                case ts.DuplicateSetUp():
+                    self._attempt(at.ReleaseUnwanted(one.set_up, event.node))
+                case ts.Adopted(number):
                     self._resume(number, event, one, paid)
-                case cl.Show(request, session):
+                case ts.SendManifest(request, session):
                     self._out.append(ev.ShowManifest(request, self.sessions[session]))
-                case cl.AskAbout(request):
+                case ts.QueryOwner(request):
                     self._out.append(ev.AskAbout(request, token.id))
 
     def _resume(self, number: int, event: ev.Adopted, one: ev.Adoptee, paid: bool) -> None:
@@ -367,23 +379,23 @@
         made.since = one.at
         self.sessions[number] = made
         self._link_wanted(event.node)
-        self._attempt(at.Resumes(number, event.node, one.rung, one.set_up, event.boot, event.counter))
+        self._attempt(at.Resume(number, event.node, one.rung, one.set_up, event.boot, event.counter))
         self._out.append(ev.Account(self._opened(made, one.at, one.set_up)))
         self._tell(fl.Resumed(self._ask(made, one.title.first_cell, one.title.holders, 0.0), event.node))
         self._tell(fl.Note(number, event.node, fl.NoteKind.RUNG, float(one.rung)))
 
     def _taken(self, set_up: str, when: int) -> None:
         """Another director owns the session now: its end here, by the box's clock, is its beginning there."""
-        found = self.attempts.own(set_up)
-        if found is None or not self.attempts.knows(set_up):
+        found = self.attempts.attempt_of(set_up)
+        if found is None or not self.attempts.is_known(set_up):
             self._out.append(ev.SetUpLost(set_up))
-            self._claim(cl.Lost(set_up))
+            self._claim(ts.ParkedTakenOver(set_up))
             return
         session = self.sessions.get(found[0])
         if session is not None and 0 < when < session.since:
             return  # of an earlier time that it was this director's
         self._out.append(ev.SetUpLost(set_up))
-        self._claim(cl.Elsewhere(found[0]))
+        self._claim(ts.OwnedElsewhere(found[0]))
         self._attempt(at.EndedAtBox(*found, fl.Outcome.CANCELLED, when))
 
     # ---- The module ---------------------------------------------------------------------------------------
@@ -391,7 +403,7 @@
         self._out.append(ev.Say("exception", detail=words))
 
     def _tell(self, event: fl.Event) -> None:
-        self._driver.tell(self._now, event)
+        self._driver.deliver(self._now, event)
 
     def _carry_out(self, action: fl.Action) -> None:
         match action:
@@ -399,19 +411,19 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.Rung(number, rung))
+                    self._attempt(at.SetRung(number, rung))
             case fl.SetUp():
                 self._set_up(action)
             case fl.Refuse(number, come_back_ms):
                 self._refuse(number, come_back_ms)
             case fl.Fail(number):
                 self._turned_away(number, "failed")
-                self._claim(cl.Failed(number))
+                self._claim(ts.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
                 self._out.append(ev.StartTimer(delay_ms, ev.TimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
-                self._attempt(at.CallOff(number))
+                self._attempt(at.Cancel(number))
             case fl.Log(text):
                 self._out.append(ev.Say("module", detail=text))
             case fl.WatchList() | fl.FetchList():
@@ -442,8 +454,8 @@
 
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._turned_away(number, "refused")
-        for answer in self.claims.handle(self._now / 1000, cl.Refused(number)):
-            if isinstance(answer, cl.TellRefused):
+        for answer in self.token_sessions.handle(self._now / 1000, ts.Refused(number)):
+            if isinstance(answer, ts.AnswerRefused):
                 self._out.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
@@ -457,7 +469,7 @@
         self.sessions.pop(session.number, None)
         session.over = True
         self._out.append(ev.SessionOver(session))
-        self._claim(cl.Over(session.number, ran))
+        self._claim(ts.Ended(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
@@ -478,20 +490,20 @@
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
                     self._out.append(ev.KeepIntent(number, attempt, session.token, box, set_up, node))
-                case at.Put():
+                case at.SendSetUp():
                     self._put(action)
-                case at.PutRung(number, attempt, node, rung):
+                case at.SendRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
                     booked = self.booked(self.sessions[number], rung)
                     self._out.append(ev.ChangeRung(set_up, node, rung, booked))
-                case at.TellStarted():
+                case at.ReportStarted():
                     self._started(action)
-                case at.TellEnded():
+                case at.ReportEnded():
                     self._ended(action)
-                case at.AbortPut() | at.Release():
+                case at.AbortSetUp() | at.Release():
                     self._out.append(action)
 
-    def _put(self, put: at.Put) -> None:
+    def _put(self, put: at.SendSetUp) -> None:
         session = self.sessions[put.session]
         self._out.append(
             ev.PutSetUp(
@@ -501,17 +513,17 @@
                 node=put.node,
                 rung=put.rung,
                 booked=self.booked(session, put.rung),
-                timeout_ms=max(put.until - self._now, 1.0),
+                timeout_ms=max(put.timeout_at - self._now, 1.0),
             )
         )
 
-    def _started(self, told: at.TellStarted) -> None:
+    def _started(self, told: at.ReportStarted) -> None:
         session = self.sessions[told.session]
-        session.started, session.since = self._now, told.when
+        session.started, session.since = self._now, told.box_time_ms
         if session.paid and session.place is None:
             self._out.append(ev.SettleIntent(session.token.id, Verdict.STARTED))
         set_up = self.attempts.set_up_id(told.session, told.attempt)
-        self._out.append(ev.Account(self._opened(session, told.when or int(self._now), set_up)))
+        self._out.append(ev.Account(self._opened(session, told.box_time_ms or int(self._now), set_up)))
         self._tell(fl.Started(told.session, told.node, told.attempt, 0.0))
         if told.load is not None:
             for kind, value in (
@@ -521,7 +533,7 @@
             ):
                 if value is not None:
                     self._tell(fl.Note(told.session, told.node, kind, value))
-        self._claim(cl.Plays(told.session))
+        self._claim(ts.Started(told.session))
 
     def _opened(self, session: ev.Session, when: int, set_up: str) -> lg.Started:
         token = session.token
@@ -538,16 +550,18 @@
             self._box_name(session.node),
         )
 
-    def _ended(self, told: at.TellEnded) -> None:
+    def _ended(self, told: at.ReportEnded) -> None:
         session = self.sessions[told.session]
-        ran = told.playing or not told.outcome.proves_unrun
+        ran = told.had_started or not told.outcome.proves_unrun
         set_up = told.set_up
-        kept = session.place is None or told.playing
+        kept = session.place is None or told.had_started
         if session.paid and not told.parked and kept and not session.unclaimed:
-            verdict = Verdict.ENDED if told.playing else Verdict.MAY_HAVE_RUN if ran else Verdict.NEVER_RAN
+            verdict = (
+                Verdict.ENDED if told.had_started else Verdict.MAY_HAVE_RUN if ran else Verdict.NEVER_RAN
+            )
             self._out.append(ev.SettleIntent(session.token.id, verdict))
-        if told.playing:
-            ended = lg.Ended(told.when or int(self._now), set_up, estimated=not told.when)
+        if told.had_started:
+            ended = lg.Ended(told.box_time_ms or int(self._now), set_up, estimated=not told.box_time_ms)
             self._out.append(ev.Account(ended))
         elif session.paid and ran and session.place is None:
             # the box may have done it and been paid for it: charged once, and marked as estimated
@@ -555,16 +569,18 @@
             ends = self._ends_ms(token)
             unseen = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, ends)
             self._out.append(ev.Account(unseen))
-        final = told.playing or session.withdrawn
-        if told.playing or told.outcome is not fl.Outcome.OK:
-            detail = f"{told.outcome.value}{', was playing' if told.playing else ''}"
+        final = told.had_started or session.withdrawn
+        if told.had_started or told.outcome is not fl.Outcome.OK:
+            detail = f"{told.outcome.value}{', was playing' if told.had_started else ''}"
             self._out.append(ev.Say("attempt ended", told.session, self._box_name(told.node), detail))
         if final and told.parked:
             self.sessions.pop(session.number, None)
             session.over = True
             self._out.append(ev.SessionOver(session))
             until = self._now / 1000 + self.config.boxes.park_s
-            self._claim(cl.Parked(session.number, until, cl.Place(told.node, set_up, session.path_token)))
+            self._claim(
+                ts.Parked(session.number, until, ts.ParkedLocation(told.node, set_up, session.path_token))
+            )
         elif final:
             self._over(session, ran)
         self._tell(fl.Ended(told.session, told.node, told.attempt, told.outcome, final, 0.0, told.load))
@@ -583,12 +599,12 @@
         if node not in self.links:
             config = self.config.boxes
             self.links[node] = ln.Link(config.notice_retry_ms, config.lost_after_ms)
-        self._link(node, ln.Wanted())
+        self._link(node, ln.StreamNeeded())
 
     def _link_perhaps_unwanted(self, node: int) -> None:
         """A stream without sessions is kept while its box is listed: the next session is not far."""
-        if node not in self.boxes and node in self.links and not self.attempts.at(node):
-            self._link(node, ln.Unwanted())
+        if node not in self.boxes and node in self.links and not self.attempts.count_at(node):
+            self._link(node, ln.StreamUnneeded())
             del self.links[node]
             self._silent.pop(node, None)
 
@@ -602,17 +618,17 @@
                     self._out.append(ev.OpenNotices(node))
                 case ln.CloseStream():
                     self._out.append(ev.CloseNotices(node))
-                case ln.Retry(delay_ms, turn):
+                case ln.StartRetryTimer(delay_ms, turn):
                     self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.RetryDue(turn))))
-                case ln.Await(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.LossDue(turn))))
-                case ln.AllLost() if self._plays_on(node):
+                case ln.StartLossTimer(delay_ms, turn):
+                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.LossTimeout(turn))))
+                case ln.AllSessionsLost() if self._plays_on(node):
                     pass
-                case ln.AllLost():
-                    if self.attempts.at(node):
+                case ln.AllSessionsLost():
+                    if self.attempts.count_at(node):
                         self._out.append(ev.Say("box silent", node=self._box_name(node)))
                     self._attempt(at.BoxLost(node))
-                case ln.Compare():
+                case ln.CompareSessions():
                     pass  # hello itself carries what is compared: see _notice
 
     def _plays_on(self, node: int) -> bool:
@@ -624,15 +640,19 @@
     def _notice(self, node: int, notice: object) -> None:
         match notice:
             case Hello(boot, counter, sessions, ended):
-                self._link(node, ln.Greeted())
+                self._link(node, ln.HelloReceived())
                 for end in ended:
-                    if self.attempts.own(end.session) is not None:
+                    if self.attempts.attempt_of(end.session) is not None:
                         self._notice(node, end)
                 self._silent.pop(node, None)
                 kept = frozenset(sessions)
                 if self.config.peers.on:
                     # what is not of this run was taken over: the answer that said so is late, or was lost
-                    foreign = {s for s in kept if not self.attempts.knows(s) and self.attempts.own(s) is None}
+                    foreign = {
+                        s
+                        for s in kept
+                        if not self.attempts.is_known(s) and self.attempts.attempt_of(s) is None
+                    }
                     kept -= foreign
                     if foreign:
                         self._out.append(ev.FetchTaken(node))
@@ -652,14 +672,14 @@
                 self._out.append(ev.Account(lg.Rerung(when or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
             case EndedThere(set_up, how, when):
-                found = self.attempts.own(set_up)
+                found = self.attempts.attempt_of(set_up)
                 if found is not None:
                     outcome = ENDED.get(how, fl.Outcome.RESET)
                     self._attempt(at.EndedAtBox(*found, outcome, when, how == "parked"))
 
     def _note(self, node: int, set_up: str, kind: fl.NoteKind, value: float) -> None:
-        found = self.attempts.own(set_up)
-        if found is not None and self.attempts.plays_at(found[0]) == (node, found[1]):
+        found = self.attempts.attempt_of(set_up)
+        if found is not None and self.attempts.playing_at(found[0]) == (node, found[1]):
             self._tell(fl.Note(found[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
@@ -696,11 +716,11 @@
             if info.status is fl.Status.DRAINING:
                 closed.append((info.node, False))
             else:
-                self._attempt(at.Serves(info.node))
+                self._attempt(at.BoxReady(info.node))
         # the module first: what is stopped below may be placed anew at once, and not at a box that drains
         self._tell(fl.NodeList(told.kind, tuple(infos)))
         for node, gone in closed:
-            self._attempt(at.Drains(node, gone))
+            self._attempt(at.BoxDraining(node, gone))
             self._link_perhaps_unwanted(node)
         if self.config.peers.on:
             self._out.append(ev.Listed(frozenset(box.name for box in self.boxes.values())))
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -20,7 +20,7 @@
 from foxlift.catalogue import Catalogue, load_catalogue
 from foxlift.config import DirectorConfig
 from foxlift.decide import attempts
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.director.answers import Answers
 from foxlift.director.authorizer import HttpProblem, RequestAuthorizer
@@ -198,7 +198,7 @@
         """Take no new session; what is asked for gets its answer; playing ones may run for the grace."""
         grace_ms = self.config.front.stop_time_ms if grace_ms is None else grace_ms
         self.stopping = True
-        self.log.info("stopping", playing=self.core.attempts.live, waiting=self.core.waiting)
+        self.log.info("stopping", playing=self.core.attempts.live_count, waiting=self.core.waiting)
         until = self.loop.time() + grace_ms / 1000
         if self.cluster is not None:
             self.cluster.service.leave()  # the others take over what plays
@@ -287,7 +287,7 @@
             # sets nothing up and joins nothing: what a GET would show now, if anything is shown
             self.answers.peek(exchange, wanted, self.core.playing(token.id))
             return
-        leaving = self.stopping and self.core.claims.is_new(token.id)
+        leaving = self.stopping and self.core.token_sessions.is_new(token.id)
         if leaving and (self.cluster is None or passed):
             exchange.reply_problem(421 if passed else 503, "stopping", extra=(("retry-after", "1"),))
             return
@@ -297,7 +297,7 @@
         exchange.on_gone = lambda: self._client_gone(number)
         if leaving and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
-                self.answers.down(number, Why.UNREACHED)
+                self.answers.down(number, RejectionReason.OWNER_UNREACHABLE)
             return
         if self.cluster is None or not self.cluster.asked(number, passed):
             self.ask_core(number)
@@ -337,7 +337,7 @@
         match action:
             case events.PutSetUp():
                 self._put(action)
-            case events.ChangeRung() | attempts.AbortPut() | attempts.Release():
+            case events.ChangeRung() | attempts.AbortSetUp() | attempts.Release():
                 self.commands.send(action)
             case events.KeepIntent() | events.SettleIntent() | events.Account():
                 self._record(action)
@@ -380,9 +380,9 @@
                 if self.cluster is not None:
                     self.cluster.carry_out(action)
 
-    def _come_back_ms(self, why: Why) -> float:
+    def _come_back_ms(self, why: RejectionReason) -> float:
         """After how long a viewer may come back, 0 where that is not said."""
-        if self.cluster is None or why is not Why.UNREACHED:
+        if self.cluster is None or why is not RejectionReason.OWNER_UNREACHABLE:
             return 0.0
         return self.cluster.come_back_ms()
 
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -6,7 +6,7 @@
 
 from foxlift.boxes import BoxNotice
 from foxlift.catalogue import Title
-from foxlift.decide import attempts, claims, links
+from foxlift.decide import attempts, links, token_sessions
 from foxlift.http import Headers
 from foxlift.ledger import Ended, Ran, Rerung, Started, TurnedAway
 from foxlift.membership import BoxList, ListAnswer, ListFailed, Poll, PollDue
@@ -61,7 +61,7 @@
     """A wait that a link asked for is over."""
 
     node: int
-    event: links.RetryDue | links.LossDue
+    event: links.RetryDue | links.LossTimeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +155,7 @@
     | attempts.IntentDurable
     | attempts.IntentFailed
     | attempts.Answered
-    | attempts.Lost
+    | attempts.CallFailed
     | attempts.Released
     | attempts.ReleaseFailed
 )
@@ -172,7 +172,7 @@
     klass: int
     paid: bool
     path_token: str
-    place: claims.Place | None = None  # where it was parked, if it is to be taken up again
+    place: token_sessions.ParkedLocation | None = None  # where it was parked, if it is to be taken up again
     top: int = 0  # the highest rung that it may ever have
     rung: int = 0
     node: int = 0
@@ -218,7 +218,7 @@
     """Answer at once, without a session."""
 
     request: int
-    why: claims.Why
+    why: token_sessions.RejectionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -379,7 +379,7 @@
     | SettleIntent
     | PutSetUp
     | ChangeRung
-    | attempts.AbortPut
+    | attempts.AbortSetUp
     | attempts.Release
     | OpenNotices
     | CloseNotices
--- a/foxlift/logic.py
+++ b/foxlift/logic.py
@@ -180,7 +180,7 @@
         self.ask_list_at = -math.inf if settings.list_by_ask else math.inf  # when to ask for the node list
         self.shares: tuple[float, ...] = ()  # by zone, of the plan in force; empty: there is none
         self.now = 0.0
-        self.out: list[fl.Action] = []
+        self.actions: list[fl.Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
             fl.NodeList: self._list,
             fl.Ask: self._take,
@@ -196,14 +196,14 @@
 
     def handle(self, now: float, event: fl.Event) -> list[fl.Action]:
         """Take one event in; give back the actions in the order in which they are to be carried out."""
-        self.now, self.out = now, []
+        self.now, self.actions = now, []
         self.started_at = min(self.started_at, now)
         self.rack_uses.clear()
         if now >= self.ask_list_at:
             self.ask_list_at = math.inf
-            self.out.append(fl.WatchList(True))
+            self.actions.append(fl.WatchList(True))
         self.handlers[type(event)](event)
-        return self.out
+        return self.actions
 
     # ---- Estimate -----------------------------------------------------------------------------------------
     def _heard(self, node: _Node | None, load: fl.Load | None) -> None:
@@ -466,8 +466,8 @@
         node.sent_at = self.now
         self._take_seat(session.ask, 1)
         self._count(session, rung)
-        self.out.append(fl.SetRung(session.ask.session, rung))
-        self.out.append(fl.SetUp(session.ask.session, node.info.node, left))
+        self.actions.append(fl.SetRung(session.ask.session, rung))
+        self.actions.append(fl.SetUp(session.ask.session, node.info.node, left))
 
     def _count(self, session: _Session, rung: int) -> None:
         """Book the session's rate at its node and rack."""
@@ -510,7 +510,7 @@
             self.held[session.ask.session] = session
             if not self.beating:
                 self.beating = True
-                self.out.append(fl.SetTimer(BEAT_MS, 0))
+                self.actions.append(fl.SetTimer(BEAT_MS, 0))
 
     def _hold_ends(self, session: _Session) -> float:
         hold_ms = HOLD_PART * self._class(session.ask).wanted_ms
@@ -523,10 +523,10 @@
         self.held.pop(name, None)
         self.sessions.pop(name, None)
         if session.may_have_run and self._class(session.ask).repeat is not fl.Repeat.FREE:
-            self.out.append(fl.Fail(name))
+            self.actions.append(fl.Fail(name))
         else:
             come_back = self.settings.come_back_max_ms if self.settings.come_back else 0.0
-            self.out.append(fl.Refuse(name, come_back))
+            self.actions.append(fl.Refuse(name, come_back))
 
     def _beat(self, _: fl.Wake) -> None:
         self.beating = False
@@ -651,7 +651,7 @@
 
     def _set_rung(self, session: _Session, rung: int) -> None:
         self._count(session, rung)
-        self.out.append(fl.SetRung(session.ask.session, rung))
+        self.actions.append(fl.SetRung(session.ask.session, rung))
 
     def _shed(self, pipe: _Pipe, use: float) -> None:
         """Lowers own sessions on a pipe asked for more than it gives, by this director's part of the excess.
@@ -708,7 +708,7 @@
         if event.kind is fl.ListKind.FAILED:
             if self.settings.list_by_ask:
                 self.ask_list_at = self.now + ASK_LIST_MS
-                self.out.append(fl.SetTimer(ASK_LIST_MS, 1))
+                self.actions.append(fl.SetTimer(ASK_LIST_MS, 1))
             return
         named = {info.node for info in event.nodes}
         for info in event.nodes:
--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -134,8 +134,8 @@
             "releases": len(self.releases),
             "handovers": len(self._handovers),
             "boxes": len(self._boxes),
-            "attempts": self.attempts.live,
-            "ghosts": self.attempts.ghosts,
+            "attempts": self.attempts.live_count,
+            "ghosts": self.attempts.orphan_count,
             "boxes played on": len(self._standing),
             "connections waited on": len(self._out_on),
             "requests": self._driver.unanswered,
@@ -167,7 +167,7 @@
                 self._box_connection_lost(node, conn, spoilt)
             case ev.Unreached(number, node):
                 if self._waiting(number, node) is not None:
-                    self._lost(number, at.Loss.CONNECT)
+                    self._lost(number, at.CallFailure.CONNECT)
             case ev.BoxLost(node, why):
                 self.counts["box lost, " + why] += 1
                 lost = [self.sessions[number].tag for number in sorted(self._standing.get(node, ()))]
@@ -190,11 +190,11 @@
         """A connection is there: the set-up's bytes, or None where it is not to leave any more."""
         self._now = now
         session = self._waiting(number, node)
-        if session is None or now >= self.attempts.until(number):
+        if session is None or now >= self.attempts.timeout_at(number):
             return None  # its connection and its time-out came together, both too late
         session.box_conn, session.sent_at = conn, now
         self._out_on.setdefault((node, conn), set()).add(number)
-        within = max(self.attempts.until(number) - now, 1.0)
+        within = max(self.attempts.timeout_at(number) - now, 1.0)
         klass = self.settings.classes[session.klass].name
         body = session.description.encode()
         return rtsp.set_up(session.tag, session.title, klass, session.rung, int(within), body)
@@ -206,7 +206,7 @@
     def _waiting(self, number: int, node: int) -> _Session | None:
         """The session, where an attempt of it at that very box has still to leave."""
         session = self.sessions.get(number)
-        if session is None or session.state is not _State.ASKED or not self.attempts.holds(number):
+        if session is None or session.state is not _State.ASKED or not self.attempts.has_attempt(number):
             return None
         return session if session.node == node and not session.box_conn else None
 
@@ -314,7 +314,7 @@
         self.counts["handed over"] += 1
         self._write(self.releases.served(self._now, conn))
         self._out.append(ev.ViewerSessions(conn, 1))
-        self._attempt(at.Resumes(session.number, node, session.rung))
+        self._attempt(at.Resume(session.number, node, session.rung))
         self._stands(session.number, node)
         self._tell(fl.Resumed(self._ask(session.number, start, klass, tenant, 0.0), node))
 
@@ -334,7 +334,7 @@
     def _end_standing(self, session: _Session, cause: int) -> None:
         """Its viewer wants no more: the box is told why, and the viewer is owed nothing."""
         session.farewell = rtsp.release(session.tag, cause)
-        self._attempt(at.CallOff(session.number))
+        self._attempt(at.Cancel(session.number))
 
     def _withdraw(self, session: _Session) -> None:
         """The viewer waits no longer."""
@@ -343,8 +343,8 @@
         self._out.append(ev.ViewerSessions(session.conn, -1))
         del self._by_tag[session.tag]
         self._tell(fl.Withdrawn(session.number))
-        self._attempt(at.CallOff(session.number))
-        if not self.attempts.holds(session.number):
+        self._attempt(at.Cancel(session.number))
+        if not self.attempts.has_attempt(session.number):
             self.sessions.pop(session.number, None)
 
     def _last_answers(self) -> None:
@@ -387,7 +387,7 @@
         self._out.append(ev.Say("exception", words))
 
     def _tell(self, event: fl.Event) -> None:
-        self._driver.tell(self._now, event)
+        self._driver.deliver(self._now, event)
 
     def _carry_out(self, action: fl.Action) -> None:
         match action:
@@ -395,7 +395,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.Rung(number, rung))
+                    self._attempt(at.SetRung(number, rung))
             case fl.SetUp(number, node, within_ms):
                 session = self.sessions[number]
                 session.node, session.box_conn = node, 0
@@ -410,13 +410,13 @@
             case fl.SetTimer(delay_ms, token):
                 self._out.append(ev.StartTimer(delay_ms, fl.Wake(token)))
             case fl.Cancel(number):
-                self._attempt(at.CallOff(number))
+                self._attempt(at.Cancel(number))
             case fl.Move(number):
                 session = self.sessions.get(number)
                 if session is not None and session.state is _State.STANDS:
                     session.farewell = rtsp.move(session.tag)
                     self._over(session.conn, session.tag, viewers.move(session.tag))
-                    self._attempt(at.CallOff(number))
+                    self._attempt(at.Cancel(number))
             case fl.Log(text):
                 self._out.append(ev.Say("module", text))
             case fl.WatchList() | fl.FetchList():
@@ -437,24 +437,24 @@
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
             match action:
-                case at.Put(number, attempt, node, _, until):
+                case at.SendSetUp(number, attempt, node, _, until):
                     self._out.append(ev.SendSetUp(number, node))
                     delay = max(until - self._now, 0.0)
                     self._out.append(ev.StartTimer(delay, ev.AttemptDue(number, attempt)))
-                case at.AbortPut(number, _, if_unsent):
+                case at.AbortSetUp(number, _, if_unsent):
                     self._abort(number, if_unsent)
-                case at.PutRung(number, _, node, rung):
+                case at.SendRung(number, _, node, rung):
                     session = self.sessions[number]
                     data = rtsp.new_rung(session.tag, rung)
                     self._out.append(ev.ToBox(node, session.box_conn, data))
                 case at.Release(set_up, node):
                     self._release(set_up, node)
-                case at.TellStarted(number, attempt, node):
+                case at.ReportStarted(number, attempt, node):
                     session = self.sessions[number]
                     elapsed = self._now - session.sent_at
                     self._stands(number, node)
                     self._tell(fl.Started(number, node, attempt, elapsed))
-                case at.TellEnded():
+                case at.ReportEnded():
                     self._ended(action)
                 case at.WriteIntent():
                     raise AssertionError("a platform director keeps no record of intents")
@@ -463,29 +463,29 @@
         session = self.sessions[number]
         if session.box_conn and if_unsent:
             return
-        self._lost(number, at.Loss.CANCELLED)
+        self._lost(number, at.CallFailure.CANCELLED)
 
-    def _lost(self, number: int, loss: at.Loss) -> None:
+    def _lost(self, number: int, loss: at.CallFailure) -> None:
         """The attempt that is out has no answer."""
         session = self.sessions.get(number)
-        if session is None or not self.attempts.holds(number) or session.state is _State.STANDS:
+        if session is None or not self.attempts.has_attempt(number) or session.state is _State.STANDS:
             return
         if not session.box_conn:
             self._out.append(ev.StopSetUp(number, session.node))
-        self._attempt(at.Lost(number, session.attempts - 1, loss, left=session.box_conn != 0))
+        self._attempt(at.CallFailed(number, session.attempts - 1, loss, sent=session.box_conn != 0))
 
     def _attempt_due(self, number: int, attempt: int) -> None:
         session = self.sessions.get(number)
         if session is None or session.attempts - 1 != attempt or session.state is _State.STANDS:
             return
-        if self.attempts.holds(number):
+        if self.attempts.has_attempt(number):
             self.counts["timed out" if session.box_conn else "not connected in time"] += 1
             # what waited for a connection all the while has provably not left
-            self._lost(number, at.Loss.TIMEOUT if session.box_conn else at.Loss.CONNECT)
+            self._lost(number, at.CallFailure.TIMEOUT if session.box_conn else at.CallFailure.CONNECT)
 
     def _release(self, set_up: str, node: int) -> None:
         """Nobody wants what the box may run for this attempt."""
-        own = self.attempts.own(set_up)
+        own = self.attempts.attempt_of(set_up)
         session = None if own is None else self.sessions.get(own[0])
         if session is not None and session.box_conn >= 0:
             if session.state is _State.STANDS:
@@ -502,9 +502,9 @@
         self.farewells.sent(self._now, node, tag, data)
         self._out.append(ev.ToBox(node, conn, data))
 
-    def _ended(self, told: at.TellEnded) -> None:
+    def _ended(self, told: at.ReportEnded) -> None:
         session = self.sessions[told.session]
-        if told.playing:
+        if told.had_started:
             self._stands_no_more(told.session, told.node)
             self.counts["ended, " + told.outcome.value] += 1
             self.farewells.said(self._now, session.tag, Word.PAST)
@@ -519,7 +519,7 @@
                 self._out.append(ev.SetUpEnded(told.node, session.box_conn))
             if session.state is _State.LEFT:
                 self.sessions.pop(session.number, None)
-        final = told.playing or session.state is _State.LEFT
+        final = told.had_started or session.state is _State.LEFT
         elapsed = self._now - session.sent_at
         session.box_conn = 0
         self._tell(fl.Ended(told.session, told.node, told.attempt, told.outcome, final, elapsed, told.load))
@@ -564,7 +564,7 @@
             elif message.cseq == 2:
                 self.farewells.heard(node, event.conn, message.session)
             return
-        mine = session is not None and session.node == node and self.attempts.holds(session.number)
+        mine = session is not None and session.node == node and self.attempts.has_attempt(session.number)
         if message.method == "TEARDOWN":
             self._out.append(ev.ToBox(node, event.conn, rtsp.heard(message), only=True))
             if session is not None and mine:
@@ -612,7 +612,7 @@
             description = ""
         if not description:
             self.counts["answer without a description"] += 1
-            self._lost(number, at.Loss.GARBAGE)
+            self._lost(number, at.CallFailure.UNREADABLE)
             return
         session.state, session.description, session.stands_since = _State.STANDS, "", self._now
         self.counts["started"] += 1
@@ -641,7 +641,7 @@
         return fl.Load(**named) if named else None
 
     def _box_connection_lost(self, node: int, conn: int, spoilt: bool) -> None:
-        loss = at.Loss.GARBAGE if spoilt else at.Loss.RESET
+        loss = at.CallFailure.UNREADABLE if spoilt else at.CallFailure.RESET
         for number in sorted(self._out_on.pop((node, conn), ())):
             session = self.sessions.get(number)
             if session is not None:
@@ -682,7 +682,7 @@
             if info.status is fl.Status.DRAINING:
                 closed.append((info.node, False))
             else:
-                self._attempt(at.Serves(info.node))
+                self._attempt(at.BoxReady(info.node))
         for node, gone in closed:
             if gone:
                 self._boxes.pop(node, None)
@@ -693,7 +693,7 @@
         # the module first: what is stopped below may be placed anew at once, and not at a box that drains
         self._tell(fl.NodeList(kind, tuple(infos)))
         for node, gone in closed:
-            self._attempt(at.Drains(node, gone))
+            self._attempt(at.BoxDraining(node, gone))
         for node in restarted:
             self._restarted(node)
         for node in taken:
--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -45,7 +45,7 @@
     routes: rt.Routes
     up: bool = True
     playing: set[str] = field(default_factory=set)
-    spent: bool = False  # its set-up has left: `foxlift.decide.claims` lets no other leave in this run
+    spent: bool = False  # its set-up has left: `decide.token_sessions` lets no other leave in this run
     asked: int = 0
     set_ups: int = 0
     pending: dict[int, rc.Claim] = field(default_factory=dict)  # claims that are being made
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -107,7 +107,7 @@
     def _give_up(self, session: Any) -> None:
         self.sessions.pop(session.ask.session, None)
         self.held.pop(session.ask.session, None)
-        self.out.append(fl.Refuse(session.ask.session, 100.0))
+        self.actions.append(fl.Refuse(session.ask.session, 100.0))
 
 
 @pytest.mark.parametrize("make", [Director, PaysTwice, RefusesWhatRan])
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -308,7 +308,7 @@
         await world.until(lambda: any(box.model.gone for box in world.fleet.boxes.values()))
         await asyncio.sleep(0.4)
         assert world.sessions() == []
-        assert world.director.core.attempts.ghosts == 0
+        assert world.director.core.attempts.orphan_count == 0
         assert world.director.core.sessions == {}
         again = await world.manifest(token)
         assert again.status == (502 if klass == "graded" else 200)
@@ -387,7 +387,7 @@
             assert reply.status == 504
             assert (await world.manifest(token)).status == 502
             assert len([a for _, actions in world.trace for a in actions if isinstance(a, fl.SetUp)]) == 1
-        assert world.director.core.attempts.live == 0
+        assert world.director.core.attempts.live_count == 0
 
     run(tmp_path, test)
 
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -19,7 +19,7 @@
 from test_platform_core import World, at_line, name
 
 from foxlift import interface as fl
-from foxlift.decide.driver import FAULTS_EVERY_MS, Driver
+from foxlift.decide.driver import FAULT_LOG_INTERVAL_MS, Driver
 from foxlift.logic import Director, _Pipe, _Session
 from foxlift.platform import events as ev
 from foxlift.platform.core import FAILED, REFUSED
@@ -249,7 +249,7 @@
     module = faulty(world)
     lines = tuple(box.info for box in world.config.known[0].boxes)
     module.sick = Sick(fl.NodeList)
-    world.core._driver.tell(world.now, fl.NodeList(fl.ListKind.CACHED, lines[1:]))
+    world.core._driver.deliver(world.now, fl.NodeList(fl.ListKind.CACHED, lines[1:]))
     assert set(module.nodes) == {line.node for line in lines[1:]}
     assert all(node.cold_since == world.now for node in module.nodes.values())
 
@@ -259,13 +259,13 @@
     module = Faulty(read(config([])).module, 1)
     driver = Driver(module, done.append, fault=print)
     old: list[fl.Action] = [fl.Log("old")]
-    module.out = old
+    module.actions = old
     module.sick = lambda event: True
-    driver.tell(0, fl.Withdrawn(1))
-    assert not done and module.out is old
+    driver.deliver(0, fl.Withdrawn(1))
+    assert not done and module.actions is old
     module.when = "after"
-    module.handlers[fl.Withdrawn] = lambda event: module.out.append(fl.Log("new"))
-    driver.tell(1, fl.Withdrawn(1))
+    module.handlers[fl.Withdrawn] = lambda event: module.actions.append(fl.Log("new"))
+    driver.deliver(1, fl.Withdrawn(1))
     assert done == [fl.Log("new")]
 
 
@@ -322,8 +322,8 @@
     module.sick = lambda event: True
     driver = Driver(module, lambda action: None, said.append)
     for ms in range(200):
-        driver.tell(ms, fl.Withdrawn(1))
-    assert len(said) == 200 / FAULTS_EVERY_MS
+        driver.deliver(ms, fl.Withdrawn(1))
+    assert len(said) == 200 / FAULT_LOG_INTERVAL_MS
     assert said[0].startswith("Withdrawn: Fault at test_module_faults.py:")
     assert said[1].endswith(" 99 more before")
 
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -585,10 +585,10 @@
     def carry_out(action: fl.Action) -> None:
         order.append(f"done {action}")
         if action == fl.Log("one"):
-            driver.tell(0, fl.Wake(2))
+            driver.deliver(0, fl.Wake(2))
 
     driver = Driver(Speaks(read(config([])).module, 1), carry_out, fault=print)
-    driver.tell(0, fl.Wake(1))
+    driver.deliver(0, fl.Wake(1))
     assert order == [
         "told Wake(token=1)",
         "done Log(text='one')",
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -119,7 +119,7 @@
                     elif what == "take-back":
                         push(viewer, finish_line(name(1)))
                     else:  # the loop stands still past the viewer's time
-                        due = core.attempts.until(number) - world.director.timeline.now()
+                        due = core.attempts.timeout_at(number) - world.director.timeline.now()
                         time.sleep((due + late_ms) / 1000)
 
             done = stands_still(world, meanwhile)
