--- a/foxlift/director/authorizer.py
+++ b/foxlift/director/authorizer.py
@@ -19,7 +19,7 @@
 
 from foxlift.catalogue import Catalogue, Title
 from foxlift.http import Headers, Request
-from foxlift.tokens import SessionToken, TokenError, Trouble, Verifier
+from foxlift.tokens import SessionToken, TokenError, TokenFault, Verifier
 
 MAX_VERIFIED = 10_000  # verified targets kept: what comes again soon costs no second check of its signature
 MAX_SEGMENT_PATH_CHARS = 2000  # characters of a segment's path
@@ -95,7 +95,7 @@
             token = self._verifier.verify(text)
         except TokenError as error:
             challenge: Headers = ()
-            if error.trouble is not Trouble.BAD_CLAIMS:
+            if error.fault is not TokenFault.BAD_CLAIMS:
                 challenge = (("www-authenticate", 'Bearer error="invalid_token"'),)
             raise HttpProblem(401, str(error), extra=challenge) from None
         title = self._catalogue.titles.get(name)
--- a/foxlift/tokens/session.py
+++ b/foxlift/tokens/session.py
@@ -26,25 +26,25 @@
 MAX_ID_CHARS = 128
 
 
-class Trouble(Enum):
+class TokenFault(Enum):
     """Why a token is not accepted."""
 
     MISSING = "no token"
     TOO_LARGE = "token too large"
     MALFORMED = "not a signed JWT"
     BAD_SIGNATURE = "signature does not verify"
-    FOREIGN = "issued by or for someone else"
+    WRONG_ISSUER_OR_AUDIENCE = "issued by or for someone else"
     BAD_CLAIMS = "a claim is missing or ill-typed"
     EXPIRED = "expired"
-    NOT_YET = "not valid yet"
+    NOT_YET_VALID = "not valid yet"
 
 
 class TokenError(ValueError):
     """A token is not accepted; `detail` names the claim, never its value."""
 
-    def __init__(self, trouble: Trouble, detail: str = "") -> None:
-        super().__init__(f"{trouble.value}: {detail}" if detail else trouble.value)
-        self.trouble, self.detail = trouble, detail
+    def __init__(self, fault: TokenFault, detail: str = "") -> None:
+        super().__init__(f"{fault.value}: {detail}" if detail else fault.value)
+        self.fault, self.detail = fault, detail
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,9 +64,9 @@
     def check_time(self, now: float, leeway: float) -> None:
         """Raises TokenError where the token has expired or does not hold yet at `now`."""
         if now >= self.expires + leeway:
-            raise TokenError(Trouble.EXPIRED)
+            raise TokenError(TokenFault.EXPIRED)
         if now < self.not_before - leeway:
-            raise TokenError(Trouble.NOT_YET)
+            raise TokenError(TokenFault.NOT_YET_VALID)
 
 
 def load_keys(path: Path) -> KeySet:
@@ -95,31 +95,34 @@
         Raises TokenError.
         """
         if not text:
-            raise TokenError(Trouble.MISSING)
+            raise TokenError(TokenFault.MISSING)
         if len(text) > MAX_CHARS:
-            raise TokenError(Trouble.TOO_LARGE)
+            raise TokenError(TokenFault.TOO_LARGE)
         if text.count(".") != 2:
-            raise TokenError(Trouble.MALFORMED)
+            raise TokenError(TokenFault.MALFORMED)
         try:
             claims = jwt.decode(text, self._keys, algorithms=ALGORITHMS).claims
         except JoseError as error:
-            known = {"bad_signature": Trouble.BAD_SIGNATURE, "invalid_key_id": Trouble.FOREIGN}
-            raise TokenError(known.get(str(error.error), Trouble.MALFORMED)) from None
+            known = {
+                "bad_signature": TokenFault.BAD_SIGNATURE,
+                "invalid_key_id": TokenFault.WRONG_ISSUER_OR_AUDIENCE,
+            }
+            raise TokenError(known.get(str(error.error), TokenFault.MALFORMED)) from None
         except (ValueError, TypeError, KeyError, binascii.Error, RecursionError):
-            raise TokenError(Trouble.MALFORMED) from None
+            raise TokenError(TokenFault.MALFORMED) from None
         return self._read(claims)
 
     def _read(self, claims: dict[str, Any]) -> SessionToken:
         audience = claims.get("aud")
         audiences = audience if isinstance(audience, list) else [audience]
         if claims.get("iss") != self._issuer or self._audience not in audiences:
-            raise TokenError(Trouble.FOREIGN)
+            raise TokenError(TokenFault.WRONG_ISSUER_OR_AUDIENCE)
         best = claims.get("best")
         length = claims.get("length")
         if best is not None and (type(best) is not int or not 0 <= best <= 1000):
-            raise TokenError(Trouble.BAD_CLAIMS, "best")
+            raise TokenError(TokenFault.BAD_CLAIMS, "best")
         if length is not None and (type(length) not in (int, float) or not 0 <= length <= 1e6):
-            raise TokenError(Trouble.BAD_CLAIMS, "length")
+            raise TokenError(TokenFault.BAD_CLAIMS, "length")
         return SessionToken(
             id=_text(claims, "jti"),
             viewer=_text(claims, "sub"),
@@ -136,14 +139,14 @@
 def _text(claims: dict[str, Any], name: str) -> str:
     value = claims.get(name)
     if type(value) is not str or not 0 < len(value) <= MAX_ID_CHARS or not value.isprintable():
-        raise TokenError(Trouble.BAD_CLAIMS, name)
+        raise TokenError(TokenFault.BAD_CLAIMS, name)
     return value
 
 
 def _time(claims: dict[str, Any], name: str) -> int:
     value = claims.get(name)
     if type(value) not in (int, float) or not 0 <= value < 1e12:  # type: ignore[operator]
-        raise TokenError(Trouble.BAD_CLAIMS, name)
+        raise TokenError(TokenFault.BAD_CLAIMS, name)
     return int(value)  # type: ignore[arg-type]
 
 
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from joserfc.jwk import ECKey, KeySet, OctKey
 
-from foxlift.tokens import Issuer, SessionToken, TokenError, Trouble, Verifier, load_keys
+from foxlift.tokens import Issuer, SessionToken, TokenError, TokenFault, Verifier, load_keys
 
 KEYS = KeySet([OctKey.import_key("a-key-for-tests-that-is-32-bytes", {"kid": "one"})])
 TOKEN = SessionToken("t1", "viewer", "title", "graded", "tenant", 2_000_000_000, 10, 2, 31.5)
@@ -19,12 +19,12 @@
 TEXT = Issuer(KEYS, "issuer", "foxlift").issue(TOKEN)
 
 
-def trouble(text: str) -> Trouble:
+def fault_of(text: str) -> TokenFault:
     with pytest.raises(TokenError) as caught:
         VERIFIER.verify(text)
     for part in text.split("."):
         assert len(part) < 5 or part not in str(caught.value)
-    return caught.value.trouble
+    return caught.value.fault
 
 
 def part(value: object) -> str:
@@ -45,26 +45,26 @@
         TOKEN.check_time(2_000_000_002, 2)
     with pytest.raises(TokenError) as early:
         TOKEN.check_time(7, 2)
-    assert (late.value.trouble, early.value.trouble) == (Trouble.EXPIRED, Trouble.NOT_YET)
+    assert (late.value.fault, early.value.fault) == (TokenFault.EXPIRED, TokenFault.NOT_YET_VALID)
 
 
 def test_every_way_to_be_wrong_is_told_apart() -> None:
     head, body, signature = TEXT.split(".")
     other = KeySet([OctKey.generate_key(256, {"kid": "one"})])
-    assert trouble("") is Trouble.MISSING
-    assert trouble("x" * 5000) is Trouble.TOO_LARGE
-    assert trouble("a.b") is Trouble.MALFORMED
-    assert trouble(f"{part({'alg': 'none'})}.{body}.") is Trouble.MALFORMED
-    assert trouble(Issuer(other, "issuer", "foxlift").issue(TOKEN)) is Trouble.BAD_SIGNATURE
-    assert trouble(f"{head}.{part({'iss': 'issuer'})}.{signature}") is Trouble.BAD_SIGNATURE
-    assert trouble(Issuer(KEYS, "someone", "foxlift").issue(TOKEN)) is Trouble.FOREIGN
-    assert trouble(Issuer(KEYS, "issuer", "elsewhere").issue(TOKEN)) is Trouble.FOREIGN
+    assert fault_of("") is TokenFault.MISSING
+    assert fault_of("x" * 5000) is TokenFault.TOO_LARGE
+    assert fault_of("a.b") is TokenFault.MALFORMED
+    assert fault_of(f"{part({'alg': 'none'})}.{body}.") is TokenFault.MALFORMED
+    assert fault_of(Issuer(other, "issuer", "foxlift").issue(TOKEN)) is TokenFault.BAD_SIGNATURE
+    assert fault_of(f"{head}.{part({'iss': 'issuer'})}.{signature}") is TokenFault.BAD_SIGNATURE
+    assert fault_of(Issuer(KEYS, "someone", "foxlift").issue(TOKEN)) is TokenFault.WRONG_ISSUER_OR_AUDIENCE
+    assert fault_of(Issuer(KEYS, "issuer", "elsewhere").issue(TOKEN)) is TokenFault.WRONG_ISSUER_OR_AUDIENCE
     unknown = KeySet([OctKey.generate_key(256, {"kid": "two"})])
-    assert trouble(Issuer(unknown, "issuer", "foxlift").issue(TOKEN)) is Trouble.FOREIGN
+    assert fault_of(Issuer(unknown, "issuer", "foxlift").issue(TOKEN)) is TokenFault.WRONG_ISSUER_OR_AUDIENCE
     blank = SessionToken("", "viewer", "title", "graded", "tenant", 2_000_000_000)
-    assert trouble(Issuer(KEYS, "issuer", "foxlift").issue(blank)) is Trouble.BAD_CLAIMS
+    assert fault_of(Issuer(KEYS, "issuer", "foxlift").issue(blank)) is TokenFault.BAD_CLAIMS
     line = SessionToken("a\nb", "viewer", "title", "graded", "tenant", 2_000_000_000)
-    assert trouble(Issuer(KEYS, "issuer", "foxlift").issue(line)) is Trouble.BAD_CLAIMS
+    assert fault_of(Issuer(KEYS, "issuer", "foxlift").issue(line)) is TokenFault.BAD_CLAIMS
 
 
 @given(st.binary(max_size=300), st.integers(0, len(TEXT) - 1))
@@ -75,7 +75,7 @@
         assert VERIFIER.verify(damaged) == TOKEN
         assert at == len(TEXT) - 1 or damaged == TEXT
     except TokenError as error:
-        assert error.trouble is not Trouble.MISSING
+        assert error.fault is not TokenFault.MISSING
 
 
 def test_a_bad_key_file_is_named_without_its_content(tmp_path: Path) -> None:
