--- a/foxlift/catalogue/titles.py
+++ b/foxlift/catalogue/titles.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from foxlift.config import DirectorConfig
-from foxlift.config.forms import ConfigError, Place, bind, read_forms
+from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 from foxlift.manifest import DashSource, ManifestError
 
 TitleName = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
@@ -59,13 +59,13 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(Place(str(path), 1, 1), "", f"cannot be read: {error}") from error
+        raise ConfigError(SourcePosition(str(path), 1, 1), "", f"cannot be read: {error}") from error
     form = bind(read_forms(text, str(path)), _CatalogueForm, "catalogue")
     sources: dict[str, DashSource] = {}
     titles: dict[str, Title] = {}
     numbers: set[int] = set()
     for entry in form.titles:
-        place = Place(str(path), 1, 1)
+        place = SourcePosition(str(path), 1, 1)
         number = title_number(entry.name)
         if entry.name in titles or number in numbers:
             raise ConfigError(place, f"catalogue.titles.{entry.name}", "stated twice")
--- a/foxlift/config/__init__.py
+++ b/foxlift/config/__init__.py
@@ -1,6 +1,6 @@
 """S-expression files to typed, checked structures; each error names file, line, column and key."""
 
-from foxlift.config.forms import ConfigError, Place, bind, read_forms
+from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 from foxlift.config.settings import (
     BoxLinkConfig,
     CatalogueConfig,
@@ -19,7 +19,7 @@
     "DirectorConfig",
     "FleetConfig",
     "FrontConfig",
-    "Place",
+    "SourcePosition",
     "TokenConfig",
     "bind",
     "load_director",
--- a/foxlift/config/control.py
+++ b/foxlift/config/control.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.config.forms import ConfigError, Place, bind, read_forms
+from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
 Pattern = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._*?-]+$")]
@@ -64,6 +64,6 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(Place(str(path), 1, 1), "", f"cannot be read: {error}") from error
+        raise ConfigError(SourcePosition(str(path), 1, 1), "", f"cannot be read: {error}") from error
     config = bind(read_forms(text, str(path)), ControlConfig, "control")
     return msgspec.structs.replace(config, state=str(path.parent / config.state))
--- a/foxlift/config/forms.py
+++ b/foxlift/config/forms.py
@@ -1,4 +1,4 @@
-"""S-expressions with places, and their binding to msgspec structures.
+"""S-expressions with source positions, and their binding to msgspec structures.
 
 A structure is written as a list of forms, one for each field: `(key value ...)`, the key with `-` for `_`.
 A field that holds a structure has that structure's forms as its values; a field that holds several structures
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class SourcePosition:
     """Where in a file something stands; lines and columns count from 1."""
 
     file: str
@@ -37,9 +37,9 @@
 class ConfigError(ValueError):
     """What is wrong with a settings file, and where."""
 
-    def __init__(self, place: Place, key: str, message: str) -> None:
-        super().__init__(f"{place}: {key}: {message}" if key else f"{place}: {message}")
-        self.place, self.key, self.message = place, key, message
+    def __init__(self, position: SourcePosition, key: str, message: str) -> None:
+        super().__init__(f"{position}: {key}: {message}" if key else f"{position}: {message}")
+        self.position, self.key, self.message = position, key, message
 
 
 class _Atom:
@@ -75,12 +75,12 @@
     def __init__(self, text: str, file: str) -> None:
         self.text, self.file = text, file
 
-    def place(self, at: int) -> Place:
+    def position(self, at: int) -> SourcePosition:
         before = self.text[:at]
-        return Place(self.file, before.count("\n") + 1, at - (before.rfind("\n") + 1) + 1)
+        return SourcePosition(self.file, before.count("\n") + 1, at - (before.rfind("\n") + 1) + 1)
 
     def error(self, at: int, key: str, message: str) -> ConfigError:
-        return ConfigError(self.place(at), key, message)
+        return ConfigError(self.position(at), key, message)
 
 
 @dataclass(frozen=True)
@@ -92,7 +92,10 @@
 
 
 def _check_brackets(source: _Source) -> None:
-    """Name an open or a surplus bracket by its place: the library tells neither, and recurses unbounded."""
+    """Report an unclosed or surplus bracket with its position.
+
+    The library does not name the position of either, and recurses without a bound.
+    """
     text, open_at, i = source.text, [], 0
     pairs = {")": "(", "]": "[", "}": "{"}
     while i < len(text):
@@ -140,7 +143,7 @@
     _check_brackets(source)
     try:
         items = _Parser(text, nil=None, true="true", false="false").parse()
-    except Exception as error:  # the library raises several kinds, none with a place
+    except Exception as error:  # the library raises several kinds, none with a position
         raise source.error(0, "", f"not S-expressions: {error}") from error
     return Forms(items, source)
 
@@ -148,7 +151,7 @@
 def bind(forms: Forms, kind: type[T], head: str) -> T:
     """Make a `kind` from the one top-level form of that head.
 
-    Raises ConfigError for an unknown, missing, repeated or ill-typed key, each with its place.
+    Raises ConfigError for an unknown, missing, repeated or ill-typed key, each with its position.
     """
     source = forms.source
     if len(forms.items) != 1 or not isinstance(forms.items[0], _List):
--- a/foxlift/config/settings.py
+++ b/foxlift/config/settings.py
@@ -11,7 +11,7 @@
 
 from foxlift import interface as fl
 from foxlift.config.control import MAX_RELAYS, RelayConfig
-from foxlift.config.forms import ConfigError, Place, bind, read_forms
+from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 
 Ms = Annotated[float, Meta(ge=0, le=86_400_000)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
@@ -270,7 +270,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(Place(str(path), 1, 1), "", f"cannot be read: {error}") from error
+        raise ConfigError(SourcePosition(str(path), 1, 1), "", f"cannot be read: {error}") from error
     config = bind(read_forms(text, str(path)), DirectorConfig, "director")
     here = path.parent
     return msgspec.structs.replace(
--- a/foxlift/ledger/tariff.py
+++ b/foxlift/ledger/tariff.py
@@ -20,7 +20,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.config.forms import ConfigError, Place, bind, read_forms
+from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 
 Micros = Annotated[int, Meta(ge=0, le=10**15)]
 HOUR_MS = 3_600_000
@@ -45,7 +45,7 @@
 class Tariff:
     """Prices by date, class and rung."""
 
-    def __init__(self, form: _Tariff, place: Place) -> None:
+    def __init__(self, form: _Tariff, place: SourcePosition) -> None:
         self.currency = form.currency
         self._starts: list[int] = []
         self._prices: list[dict[str, _Price]] = []
@@ -84,7 +84,7 @@
 
 def read_tariff(text: str, file: str) -> Tariff:
     """Raises ConfigError."""
-    return Tariff(bind(read_forms(text, file), _Tariff, "tariff"), Place(file, 1, 1))
+    return Tariff(bind(read_forms(text, file), _Tariff, "tariff"), SourcePosition(file, 1, 1))
 
 
 def load_tariff(path: Path) -> Tariff:
@@ -92,7 +92,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(Place(str(path), 1, 1), "", f"cannot be read: {error}") from error
+        raise ConfigError(SourcePosition(str(path), 1, 1), "", f"cannot be read: {error}") from error
     return read_tariff(text, str(path))
 
 
--- a/foxlift/rehearsal/scenario.py
+++ b/foxlift/rehearsal/scenario.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.config import ConfigError, Place, bind, read_forms
+from foxlift.config import ConfigError, SourcePosition, bind, read_forms
 from foxlift.config.settings import ClassConfig, Name
 
 Seconds = Annotated[float, Meta(ge=0, le=36_000)]
@@ -179,7 +179,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(Place(str(path), 1, 1), "", f"cannot be read: {error}") from error
+        raise ConfigError(SourcePosition(str(path), 1, 1), "", f"cannot be read: {error}") from error
     return bind(read_forms(text, str(path)), Scenario, "scenario")
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -56,7 +56,7 @@
     assert old in GOOD
     with pytest.raises(ConfigError) as caught:
         bind(read_forms(GOOD.replace(old, new, 1), "d.sexp"), DirectorConfig, "director")
-    assert caught.value.place.line == line
+    assert caught.value.position.line == line
     assert words in str(caught.value)
 
 
