--- a/foxlift/catalogue/titles.py
+++ b/foxlift/catalogue/titles.py
@@ -84,7 +84,7 @@
     return Catalogue(form.version, titles)
 
 
-def misfits(config: DirectorConfig, catalogue: Catalogue) -> list[str]:
+def ladder_mismatches(config: DirectorConfig, catalogue: Catalogue) -> list[str]:
     """Sources whose renditions do not fit the ladder of a class, a line each: file, line, class, figures."""
     found: list[str] = []
     for source in {id(title.source): title.source for title in catalogue.titles.values()}.values():
--- a/foxlift/cli/main.py
+++ b/foxlift/cli/main.py
@@ -25,7 +25,7 @@
 import uvloop
 from rich.console import Console
 
-from foxlift.catalogue import load_catalogue, misfits
+from foxlift.catalogue import ladder_mismatches, load_catalogue
 from foxlift.cli.control import configuration, control
 from foxlift.cli.ledger import ledger
 from foxlift.config import ConfigError, load_director, module_settings
@@ -145,7 +145,7 @@
     except (ConfigError, ValueError) as error:
         _end(BAD_FILES, str(error))
         return
-    for line in misfits(config, catalogue):
+    for line in ladder_mismatches(config, catalogue):
         click.echo(line)
     click.echo(
         f"{settings}: in order: director {config.name}, {len(config.fleet.classes)} classes,"
