--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -15,7 +15,7 @@
 
 from msgspec.structs import replace
 
-from foxlift.boxes.takeover import TakeAnswer, TakeOrder
+from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
 from foxlift.config import DirectorConfig, bind, read_forms
 from foxlift.config.settings import PeerConfig
 from foxlift.decide.claims import Why
@@ -139,11 +139,13 @@
         """Never called."""
         raise NotImplementedError
 
-    def adopt(self, box: str, answer: TakeAnswer) -> None:
+    def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Never called."""
         raise NotImplementedError
 
-    def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
+    def send_takeover(
+        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+    ) -> bool:
         """There are no media servers, so there is nothing to take over."""
         return False
 
--- a/foxlift/boxes/notices.py
+++ b/foxlift/boxes/notices.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-MAX_EVENT = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
-class BadNotice(ValueError):
+class NoticeError(ValueError):
     """A stream that cannot be read on."""
 
 
-class EndedThere(msgspec.Struct, frozen=True, tag="ended"):
+class SessionEnded(msgspec.Struct, frozen=True, tag="ended"):
     """A session is over at the box: its viewer had all of it, left, or it was broken off; `at` as above."""
 
     session: str
@@ -35,7 +35,7 @@
     boot: str
     counter: int
     sessions: tuple[str, ...] = ()
-    ended: tuple[EndedThere, ...] = ()
+    ended: tuple[SessionEnded, ...] = ()
 
 
 class Delivered(msgspec.Struct, frozen=True, tag="delivered"):
@@ -53,7 +53,7 @@
     uplink: float | None = None
 
 
-class RungThere(msgspec.Struct, frozen=True, tag="rung"):
+class RungInForce(msgspec.Struct, frozen=True, tag="rung"):
     """The rung in force for a session, since when by the box's clock (Unix ms)."""
 
     session: str
@@ -61,22 +61,22 @@
     at: int = 0
 
 
-class TakenThere(msgspec.Struct, frozen=True, tag="taken"):
+class OwnershipLost(msgspec.Struct, frozen=True, tag="taken"):
     """Sessions of this director that another one owns now, since when by the box's clock (Unix ms)."""
 
     sessions: tuple[str, ...]
-    by: str
+    new_owner: str = msgspec.field(name="by")
     at: int = 0
 
 
-BoxNotice = Hello | Delivered | LinkUse | RungThere | EndedThere | TakenThere
+BoxNotice = Hello | Delivered | LinkUse | RungInForce | SessionEnded | OwnershipLost
 _KINDS: dict[str, type[BoxNotice]] = {
     "hello": Hello,
     "delivered": Delivered,
     "link": LinkUse,
-    "rung": RungThere,
-    "ended": EndedThere,
-    "taken": TakenThere,
+    "rung": RungInForce,
+    "ended": SessionEnded,
+    "taken": OwnershipLost,
 }
 
 
@@ -88,16 +88,16 @@
     first: bool = True
 
     def feed(self, data: bytes) -> list[BoxNotice]:
-        """Raises BadNotice for an event that is too large or ill-formed, or a stream without `hello`."""
+        """Raises NoticeError for an event that is too large or ill-formed, or a stream without `hello`."""
         self.buffer += data.replace(b"\r\n", b"\n")
         *events, self.buffer = self.buffer.split(b"\n\n")
-        if len(self.buffer) > MAX_EVENT:
-            raise BadNotice(f"an event of more than {MAX_EVENT} bytes")
+        if len(self.buffer) > MAX_EVENT_BYTES:
+            raise NoticeError(f"an event of more than {MAX_EVENT_BYTES} bytes")
         found = [notice for notice in map(self._read, events) if notice is not None]
         if found and self.first:
             self.first = False
             if not isinstance(found[0], Hello):
-                raise BadNotice("the stream does not begin with hello")
+                raise NoticeError("the stream does not begin with hello")
         return found
 
     def _read(self, event: bytes) -> BoxNotice | None:
@@ -114,11 +114,11 @@
         try:
             notice = msgspec.json.decode(b"\n".join(data), type=_KINDS[kind])
         except msgspec.MsgspecError as error:
-            raise BadNotice(f"{kind}: {error}") from error
+            raise NoticeError(f"{kind}: {error}") from error
         if isinstance(notice, Delivered) and not (math.isfinite(notice.share) and 0 <= notice.share <= 1):
-            raise BadNotice("delivered: share is not between 0 and 1")
+            raise NoticeError("delivered: share is not between 0 and 1")
         if isinstance(notice, LinkUse) and not _sane(notice):
-            raise BadNotice("link: not a finite use")
+            raise NoticeError("link: not a finite use")
         return notice
 
 
--- a/foxlift/boxes/orca.py
+++ b/foxlift/boxes/orca.py
@@ -13,8 +13,8 @@
 
 from foxlift import interface as fl
 
-HEADER = "endpoint-load-metrics"
-MAX_CHARS = 4096
+LOAD_HEADER = "endpoint-load-metrics"
+MAX_LOAD_HEADER_CHARS = 4096
 _NAMES = ("link", "link_up_to_one", "uplink", "streams")
 
 
@@ -24,7 +24,7 @@
 
 def read_load(value: str | None) -> fl.Load | None:
     """The module's Load, or None where there is no report that can be used."""
-    if not value or len(value) > MAX_CHARS:
+    if not value or len(value) > MAX_LOAD_HEADER_CHARS:
         return None
     form, _, text = value.strip().partition(" ")
     if form == "JSON":
--- a/foxlift/boxes/resource.py
+++ b/foxlift/boxes/resource.py
@@ -12,7 +12,7 @@
 Id = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[A-Za-z0-9._~-]+$")]
 
 
-class SetUpOrder(msgspec.Struct, frozen=True, rename="kebab"):
+class SetUpRequest(msgspec.Struct, frozen=True, rename="kebab"):
     """Body of the set-up. `claim` is the id of the viewer's token, never the token.
 
     `max_kbps` caps what the player should choose, video and sound together: it goes to it as CMSD `mb`
@@ -34,13 +34,13 @@
     path_token: Id
     within_ms: float
     max_kbps: Annotated[int, Meta(ge=0)] = 0
-    run: Annotated[int, Meta(ge=0, lt=2**53)] = 0
+    boot_epoch: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(name="run", default=0)
     grace_ms: Annotated[float, Meta(ge=0, le=3_600_000)] = 0.0
     note: Annotated[str, Meta(max_length=1000)] = ""
     boot: Annotated[str, Meta(max_length=200)] = ""
 
 
-class SetUpDone(msgspec.Struct, frozen=True):
+class SetUpResponse(msgspec.Struct, frozen=True):
     """Body of the answer 201. `counter` is the box's number of set-ups with this one.
 
     `at` is when it began to run, Unix ms by the box's clock: what is charged goes by it.
@@ -51,7 +51,7 @@
     at: int = 0
 
 
-class RungOrder(msgspec.Struct, frozen=True, rename="kebab"):
+class RungRequest(msgspec.Struct, frozen=True, rename="kebab"):
     """Body of the rung change; the cap as in the set-up."""
 
     rung: Annotated[int, Meta(ge=0, le=31)]
@@ -59,10 +59,10 @@
     max_kbps: Annotated[int, Meta(ge=0)] = 0
 
 
-def read_set_up(body: bytes) -> SetUpDone | None:
+def read_set_up(body: bytes) -> SetUpResponse | None:
     """The body of a set-up's answer, None where it cannot be read."""
     try:
-        return msgspec.json.decode(body, type=SetUpDone)
+        return msgspec.json.decode(body, type=SetUpResponse)
     except msgspec.MsgspecError:
         return None
 
--- a/foxlift/boxes/takeover.py
+++ b/foxlift/boxes/takeover.py
@@ -9,32 +9,32 @@
 
 from foxlift.boxes.resource import Id
 
-OWNER = "foxlift-owner"  # header of a director's commands: name/run
-FENCE = "foxlift-fence"  # header of a box's refusal: the run up to which the asker's are over
-BOOT = "foxlift-boot"  # header of a box's refusal: its process
-MOST_NOTE = 1000
-MOST_TAKEN = 200  # sessions handed over by one answer
+OWNER_HEADER = "foxlift-owner"  # header of a director's commands: name/run
+FENCE_HEADER = "foxlift-fence"  # header of a box's refusal: the run up to which the asker's are over
+BOOT_HEADER = "foxlift-boot"  # header of a box's refusal: its process
+MAX_NOTE_CHARS = 1000
+MAX_SESSIONS_PER_RESPONSE = 200  # sessions handed over by one answer
 
-Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
-Run = Annotated[int, Meta(ge=0, lt=2**53)]
+DirectorName = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
+BootEpoch = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
-class TakeOrder(msgspec.Struct, frozen=True, rename="kebab"):
+class TakeoverRequest(msgspec.Struct, frozen=True, rename="kebab"):
     """Hand over what `of` owns in runs up to `upto`, if that is still so; see docs/box-protocol.md.
 
     `upto` 0: in the run that the box has seen last. `certain`: also where the box still hears from it.
     `only`: this set-up alone; the answer then says what became of it.
     """
 
-    of: Name
-    upto: Run
-    by: Name
-    run: Run
-    certain: bool = False
-    only: Id | None = None
+    former_owner: DirectorName = msgspec.field(name="of")
+    max_epoch: BootEpoch = msgspec.field(name="upto")
+    new_owner: DirectorName = msgspec.field(name="by")
+    boot_epoch: BootEpoch = msgspec.field(name="run")
+    force: bool = msgspec.field(name="certain", default=False)
+    only_set_up: Id | None = msgspec.field(name="only", default=None)
 
 
-class HeldThere(msgspec.Struct, frozen=True, rename="kebab"):
+class HeldSession(msgspec.Struct, frozen=True, rename="kebab"):
     """A session as its box knows it. `at`: since when its present owner owns it, Unix ms of the box."""
 
     set_up: str
@@ -45,20 +45,20 @@
     paid: bool
     rung: Annotated[int, Meta(ge=0, le=31)]
     path_token: str
-    note: Annotated[str, Meta(max_length=MOST_NOTE)]
+    note: Annotated[str, Meta(max_length=MAX_NOTE_CHARS)]
     at: int
     parked_ms: int = 0  # above 0: it is parked, and kept for so long
 
 
-class GoneThere(msgspec.Struct, frozen=True, rename="kebab"):
+class LostSession(msgspec.Struct, frozen=True, rename="kebab"):
     """A session that was taken from the asker, since `at`, by `by`; empty: that ended then."""
 
     set_up: str
     at: int
-    by: str
+    new_owner: str = msgspec.field(name="by")
 
 
-class TakeAnswer(msgspec.Struct, frozen=True, rename="kebab"):
+class TakeoverResponse(msgspec.Struct, frozen=True, rename="kebab"):
     """What the asker owns there now by takeover, whether through this order or an earlier one.
 
     `since`: what ended up to then (Unix ms) it may have forgotten; 0: nothing. `only`: what it knows of that
@@ -68,28 +68,28 @@
     boot: str
     counter: int
     at: int
-    since: int
-    sessions: tuple[HeldThere, ...] = ()
-    gone: tuple[GoneThere, ...] = ()
+    forgotten_up_to: int = msgspec.field(name="since")
+    sessions: tuple[HeldSession, ...] = ()
+    lost: tuple[LostSession, ...] = msgspec.field(name="gone", default=())
     more: bool = False
-    only: Literal["", "yours", "other", "ended", "never"] = ""
+    set_up_state: Literal["", "yours", "other", "ended", "never"] = msgspec.field(name="only", default="")
     owner: str = ""
 
 
-def read_take_answer(body: bytes) -> TakeAnswer | None:
+def read_takeover_response(body: bytes) -> TakeoverResponse | None:
     """None where it cannot be read."""
     try:
-        return msgspec.json.decode(body, type=TakeAnswer)
+        return msgspec.json.decode(body, type=TakeoverResponse)
     except msgspec.MsgspecError:
         return None
 
 
-def owner_header(name: str, run: int) -> tuple[str, str]:
+def owner_header(name: str, boot_epoch: int) -> tuple[str, str]:
     """Names the sender of a command."""
-    return OWNER, f"{name}/{run}"
+    return OWNER_HEADER, f"{name}/{boot_epoch}"
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
+class SessionNote(msgspec.Struct, frozen=True, array_like=True):
     """What a director gives a box to keep for whoever takes the session over: the rest of its token."""
 
     viewer: str
@@ -98,15 +98,15 @@
     length_s: float | None = None
 
 
-def write_note(note: Note) -> str:
+def write_note(note: SessionNote) -> str:
     """The note as it travels; empty where it is too long to be kept."""
     text = msgspec.json.encode(note).decode()
-    return text if len(text) <= MOST_NOTE else ""
+    return text if len(text) <= MAX_NOTE_CHARS else ""
 
 
-def read_note(text: str) -> Note | None:
+def read_note(text: str) -> SessionNote | None:
     """None where it cannot be read."""
     try:
-        return msgspec.json.decode(text, type=Note)
+        return msgspec.json.decode(text, type=SessionNote)
     except msgspec.MsgspecError:
         return None
--- a/foxlift/decide/attempts.py
+++ b/foxlift/decide/attempts.py
@@ -11,7 +11,7 @@
     SENT       Lost, never left            (none)     CONNECT_FAILED or NEVER_SENT
     SENT       Lost, had left              GHOST      RESET, TIMEOUT, ERROR or CANCELLED: it may have run
     SENT       Drains, never left          (none)     NEVER_SENT: drain heard between choice and send
-    PLAYING    EndedThere                  (none)     OK, or CANCELLED where the viewer left
+    PLAYING    SessionEnded                  (none)     OK, or CANCELLED where the viewer left
     PLAYING    BoxLost                     (none)     RESET
     PLAYING    CallOff                     GHOST      CANCELLED
     GHOST      Released, box gone          (none)
--- a/foxlift/director/cluster/epoch_renewal.py
+++ b/foxlift/director/cluster/epoch_renewal.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from foxlift.boxes.takeover import FENCE
+from foxlift.boxes.takeover import FENCE_HEADER
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.http import Answer, Failure
 
@@ -42,7 +42,7 @@
 
 def _fence_of(refusal: Answer | Failure | None) -> int:
     """The fencing token that a refusal names, 0 for none."""
-    fence = refusal.header(FENCE) if isinstance(refusal, Answer) else None
+    fence = refusal.header(FENCE_HEADER) if isinstance(refusal, Answer) else None
     if fence is None or not fence.isdigit() or len(fence) > MAX_FENCE_DIGITS:
         return 0
     return int(fence)
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from foxlift.accord import holders_of
-from foxlift.boxes.takeover import TakeAnswer
+from foxlift.boxes.takeover import TakeoverResponse
 from foxlift.decide.claims import Why
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
@@ -123,12 +123,14 @@
         answered = partial(self._box_answered, request, claim.box)
         self._orders.send(claim.box, claim.owner, claim.run, certain, answered, claim.set_up)
 
-    def _box_answered(self, request: int, box: str, answer: TakeAnswer | takeover.Why) -> None:
+    def _box_answered(self, request: int, box: str, answer: TakeoverResponse | takeover.Why) -> None:
         if isinstance(answer, takeover.Why):
             gone = bool(self._boxes) and box not in self._boxes
             self._handle(route.BoxSilent(request, gone))
         else:
-            self._handle(route.BoxTold(request, answer.only, answer.owner, answer.since, answer.boot))
+            self._handle(
+                route.BoxTold(request, answer.set_up_state, answer.owner, answer.forgotten_up_to, answer.boot)
+            )
 
     def _tell(self, tell: route.Tell) -> None:
         self._context.counters.add("routed", tell.verdict.value)
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -9,13 +9,13 @@
 import msgspec
 import structlog
 
-from foxlift.boxes.notices import BoxNotice, EndedThere, Hello, TakenThere
+from foxlift.boxes.notices import BoxNotice, Hello, OwnershipLost, SessionEnded
 from foxlift.boxes.takeover import (
-    BOOT,
-    HeldThere,
-    Note,
-    TakeAnswer,
-    TakeOrder,
+    BOOT_HEADER,
+    HeldSession,
+    SessionNote,
+    TakeoverRequest,
+    TakeoverResponse,
     owner_header,
     read_note,
     write_note,
@@ -269,13 +269,13 @@
     def note(self, session: events.Session) -> str:
         """See `Ownership`."""
         token = session.token
-        return write_note(Note(token.viewer, token.expires, token.best_rung, token.length_s))
+        return write_note(SessionNote(token.viewer, token.expires, token.best_rung, token.length_s))
 
     def is_refused(self, result: Answer | Failure, set_up: str = "", node: int | None = None) -> bool:
         """See `Ownership`. A server that has fenced this director off begins another boot epoch."""
         if not isinstance(result, Answer):
             return False
-        boot = result.header(BOOT)
+        boot = result.header(BOOT_HEADER)
         if node is not None and boot:
             self.boot_heard(node, boot)
         refusal = result.header("foxlift-refusal")
@@ -300,7 +300,7 @@
 
     def notice_heard(self, node: int, notice: BoxNotice) -> None:
         """See `Ownership`."""
-        if isinstance(notice, TakenThere):
+        if isinstance(notice, OwnershipLost):
             self.service.renew_epoch()
         elif isinstance(notice, Hello):
             self.boot_heard(node, notice.boot)
@@ -335,7 +335,9 @@
             self.box(session.node) or "-", self.daemon.core.set_up_of(session)
         )
 
-    def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
+    def send_takeover(
+        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+    ) -> bool:
         """See `Host`."""
         node = self.node(box)
         if node is None:
@@ -351,15 +353,15 @@
         )
         return True
 
-    def adopt(self, box: str, answer: TakeAnswer) -> None:
+    def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """See `Host`."""
         daemon, node = self.daemon, self.node(box)
         if node is None:
             return
         self.boot_heard(node, answer.boot)
-        for gone in answer.gone:
-            notice = TakenThere((gone.set_up,), gone.by, gone.at) if gone.by else None
-            daemon.feed(events.Notice(node, notice or EndedThere(gone.set_up, "done", gone.at)))
+        for gone in answer.lost:
+            notice = OwnershipLost((gone.set_up,), gone.new_owner, gone.at) if gone.new_owner else None
+            daemon.feed(events.Notice(node, notice or SessionEnded(gone.set_up, "done", gone.at)))
             left = daemon.journal.book.account.open.get(gone.set_up)
             if left is not None and left.began <= gone.at:
                 daemon.journal.handle(int(daemon.timeline.now()), Ended(gone.at, gone.set_up))
@@ -375,7 +377,7 @@
                 )
         daemon.streams.reopen(node)
 
-    def _adoptee(self, box: str, held: HeldThere) -> events.Adoptee | None:
+    def _adoptee(self, box: str, held: HeldSession) -> events.Adoptee | None:
         daemon, note = self.daemon, read_note(held.note)
         title = daemon.catalogue.titles.get(held.title)
         if note is None or title is None or not daemon.core.knows_class(held.klass):
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from foxlift.boxes.takeover import TakeAnswer, TakeOrder
+from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
 from foxlift.decide.claims import Why
 from foxlift.director import events
 from foxlift.http import Answer, Exchange, Failure, Headers
@@ -44,10 +44,12 @@
     def forwardable(self, request: int) -> ForwardableRequest | None:
         """The request as it is to be forwarded; None where its viewer has left."""
 
-    def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
+    def send_takeover(
+        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+    ) -> bool:
         """Send an order to a box; False where the box list does not name it."""
 
-    def adopt(self, box: str, answer: TakeAnswer) -> None:
+    def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Take in what a box has handed over."""
 
     def boot_of(self, keep: events.KeepIntent) -> str:
--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from foxlift.boxes.takeover import TakeAnswer, TakeOrder, read_take_answer
+from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse, read_takeover_response
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.epoch_renewal import EpochRenewal
 from foxlift.director.cluster.ports import Host
@@ -29,13 +29,13 @@
         owner: str,
         up_to_epoch: int,
         certain: bool,
-        done: Callable[[TakeAnswer | Why], None],
+        done: Callable[[TakeoverResponse | Why], None],
         only_set_up: str | None = None,
     ) -> None:
         """Ask for what `owner` has at a box in epochs up to one (0: the last that the box has seen)."""
         context = self._context
         epoch = context.boot_epoch
-        order = TakeOrder(owner, up_to_epoch, context.name, epoch, certain, only_set_up)
+        order = TakeoverRequest(owner, up_to_epoch, context.name, epoch, certain, only_set_up)
 
         def answered(result: Answer | Failure) -> None:
             if context.closed:
@@ -63,9 +63,9 @@
         return Why.FENCED
 
 
-def _answer_of(result: Answer | Failure) -> TakeAnswer | None:
+def _answer_of(result: Answer | Failure) -> TakeoverResponse | None:
     if isinstance(result, Answer) and result.status == 200:
-        return read_take_answer(result.body)
+        return read_takeover_response(result.body)
     return None
 
 
@@ -119,7 +119,7 @@
                 case takeover.StartTimer(delay_ms, due):
                     self._context.later(delay_ms, partial(self._handle, due))
 
-    def _answered(self, work: int, answer: TakeAnswer | Why) -> None:
+    def _answered(self, work: int, answer: TakeoverResponse | Why) -> None:
         if self._context.closed:
             return
         if isinstance(answer, Why):
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from foxlift import interface as fl
-from foxlift.boxes import SetUpOrder, box_outcome, read_load, read_set_up
-from foxlift.boxes.orca import HEADER as LOAD_HEADER
-from foxlift.boxes.resource import RungOrder
+from foxlift.boxes import SetUpRequest, box_outcome, read_load, read_set_up
+from foxlift.boxes.orca import LOAD_HEADER
+from foxlift.boxes.resource import RungRequest
 from foxlift.config import DirectorConfig
 from foxlift.decide import attempts
 from foxlift.director import events
@@ -83,9 +83,9 @@
             timeout_ms=put.timeout_ms,
         )
 
-    def _order(self, put: events.PutSetUp) -> SetUpOrder:
+    def _order(self, put: events.PutSetUp) -> SetUpRequest:
         session, token = put.session, put.session.token
-        return SetUpOrder(
+        return SetUpRequest(
             director=self._config.name,
             title=session.title.name,
             klass=token.klass,
@@ -97,7 +97,7 @@
             path_token=session.path_token,
             within_ms=put.timeout_ms,
             max_kbps=put.booked.max_kbps,
-            run=self._ownership.boot_epoch,
+            boot_epoch=self._ownership.boot_epoch,
             grace_ms=self._ownership.grace_ms,
             note=self._ownership.note(session),
             boot=session.boot if session.paid else "",
@@ -139,7 +139,7 @@
             f"/sessions/{command.set_up}/{resource}",
             answered,
             headers=(*JSON_HEADERS, *self._ownership.headers()),
-            body=msgspec.json.encode(RungOrder(command.rung, booked.rate_kb, booked.max_kbps)),
+            body=msgspec.json.encode(RungRequest(command.rung, booked.rate_kb, booked.max_kbps)),
             timeout_ms=timeout_ms,
         )
 
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -15,7 +15,7 @@
 
 from foxlift import interface as fl
 from foxlift import ledger as lg
-from foxlift.boxes import Delivered, EndedThere, Hello, LinkUse, RungThere, TakenThere
+from foxlift.boxes import Delivered, Hello, LinkUse, OwnershipLost, RungInForce, SessionEnded
 from foxlift.config import DirectorConfig, module_settings
 from foxlift.decide import attempts as at
 from foxlift.decide import claims as cl
@@ -637,7 +637,7 @@
                     if foreign:
                         self._out.append(ev.FetchTaken(node))
                 self._attempt(at.BoxLost(node, boot, kept, counter))
-            case TakenThere(sessions, _, when):
+            case OwnershipLost(sessions, _, when):
                 for set_up in sessions:
                     self._taken(set_up, when)
             case Delivered(set_up, share):
@@ -648,10 +648,10 @@
                 self._note(node, set_up, fl.NoteKind.LINK, link)
                 if uplink is not None:
                     self._note(node, set_up, fl.NoteKind.UPLINK, uplink)
-            case RungThere(set_up, rung, when):
+            case RungInForce(set_up, rung, when):
                 self._out.append(ev.Account(lg.Rerung(when or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
-            case EndedThere(set_up, how, when):
+            case SessionEnded(set_up, how, when):
                 found = self.attempts.own(set_up)
                 if found is not None:
                     outcome = ENDED.get(how, fl.Outcome.RESET)
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from foxlift.boxes import BadNotice, NoticeReader
+from foxlift.boxes import NoticeError, NoticeReader
 from foxlift.director import events
 from foxlift.director.ownership import Ownership
 from foxlift.director.server_pools import ServerPools, Use
@@ -76,7 +76,7 @@
         """Hand the notices of these bytes to the core; False where they cannot be read."""
         try:
             notices = reader.feed(data)
-        except BadNotice as error:
+        except NoticeError as error:
             self._log.warning("notices not readable", box=node, detail=str(error))
             return False
         for notice in notices:
--- a/foxlift/standins/box.py
+++ b/foxlift/standins/box.py
@@ -14,9 +14,15 @@
 
 import msgspec
 
-from foxlift.boxes.notices import BoxNotice, EndedThere, Hello, RungThere, TakenThere, encode_notice
-from foxlift.boxes.resource import RungOrder, SetUpOrder
-from foxlift.boxes.takeover import BOOT, FENCE, MOST_TAKEN, OWNER, TakeOrder
+from foxlift.boxes.notices import BoxNotice, Hello, OwnershipLost, RungInForce, SessionEnded, encode_notice
+from foxlift.boxes.resource import RungRequest, SetUpRequest
+from foxlift.boxes.takeover import (
+    BOOT_HEADER,
+    FENCE_HEADER,
+    MAX_SESSIONS_PER_RESPONSE,
+    OWNER_HEADER,
+    TakeoverRequest,
+)
 from foxlift.http import Cors, Exchange, Limits, Server, StreamOut
 from foxlift.standins.held_port import HeldPort
 from foxlift.standins.load_reports import LoadReports
@@ -140,16 +146,16 @@
     def _put(self, exchange: Exchange, set_up: str) -> None:
         model, now = self.model, self.loop.time()
         try:
-            order = msgspec.json.decode(exchange.request.body, type=SetUpOrder)
+            order = msgspec.json.decode(exchange.request.body, type=SetUpRequest)
         except msgspec.MsgspecError as error:
             exchange.reply_problem(400, "malformed set-up", str(error))
             return
-        if order.run and self.owners.fenced(order.director, order.run):
+        if order.boot_epoch and self.owners.fenced(order.director, order.boot_epoch):
             self._refuse_fenced(exchange, order.director)
             return
         if order.boot and order.boot != model.boot:
             # meant for an earlier process, which may have been asked what became of it
-            extra = (("foxlift-refusal", "rebooted"), (BOOT, model.boot), *self.reports.header())
+            extra = (("foxlift-refusal", "rebooted"), (BOOT_HEADER, model.boot), *self.reports.header())
             exchange.reply_problem(503, "not this process of the box", extra=extra)
             return
         if set_up in model.sessions:
@@ -183,7 +189,7 @@
     def _refuse_fenced(self, exchange: Exchange, director: str, status: int = 503) -> None:
         """This run of the director is over here: which one is over is told, so that its next one is above."""
         if not exchange.gone:
-            extra = (("foxlift-refusal", "fenced"), (FENCE, str(self.owners.fences.get(director, 0))))
+            extra = (("foxlift-refusal", "fenced"), (FENCE_HEADER, str(self.owners.fences.get(director, 0))))
             exchange.reply_problem(status, "this run is over here", extra=(*extra, *self.reports.header()))
 
     def _refuse(self, exchange: Exchange, why: str, status: int = 503) -> None:
@@ -191,21 +197,21 @@
         if not exchange.gone:
             exchange.reply_problem(status, why, extra=(("foxlift-refusal", why), *self.reports.header()))
 
-    def _set_up_done(self, exchange: Exchange, set_up: str, order: SetUpOrder, lost: bool) -> None:
+    def _set_up_done(self, exchange: Exchange, set_up: str, order: SetUpRequest, lost: bool) -> None:
         model, now = self.model, self.loop.time()
         model.setting_up -= 1
         if set_up in model.gone:
             if not exchange.gone:
                 exchange.reply_problem(410, "released meanwhile")
             return
-        if order.run and self.owners.fenced(order.director, order.run):
+        if order.boot_epoch and self.owners.fenced(order.director, order.boot_epoch):
             # taken over meanwhile: it never ran, and never will
             self._refuse_fenced(exchange, order.director)
             return
         session = BoxSession.from_order(set_up, order, now, unix_ms())
         model.sessions[set_up] = session
-        if order.run:
-            self.owners.begin(set_up, order.director, order.run, session.told_ms)
+        if order.boot_epoch:
+            self.owners.begin(set_up, order.director, order.boot_epoch, session.told_ms)
         model.counter += 1
         self.streams.expect(order.director)
         if lost or exchange.gone:
@@ -241,35 +247,35 @@
         if not self._commands(exchange, set_up):
             return
         try:
-            order = msgspec.json.decode(exchange.request.body, type=RungOrder)
+            order = msgspec.json.decode(exchange.request.body, type=RungRequest)
         except msgspec.MsgspecError as error:
             exchange.reply_problem(400, "malformed rung", str(error))
             return
         self._take_rung(session, order)
         session.told_ms = unix_ms()
         exchange.reply(204, self.reports.header())
-        self._tell(session.director, RungThere(set_up, order.rung, session.told_ms))
+        self._tell(session.director, RungInForce(set_up, order.rung, session.told_ms))
 
     def _commands(self, exchange: Exchange, set_up: str) -> bool:
         """Whether the sender owns the session; else it is told that it does not, and nothing is done."""
-        name, _, run = exchange.request.headers.get(OWNER, "").rpartition("/")
+        name, _, run = exchange.request.headers.get(OWNER_HEADER, "").rpartition("/")
         if set_up not in self.owners.sessions or (
             run.isdigit() and self.owners.may_command(set_up, name, int(run))
         ):
             return True
         owned = self.owners.sessions[set_up]
-        extra = (("foxlift-refusal", "not-owner"), (OWNER, f"{owned.name}/{owned.run}"))
+        extra = (("foxlift-refusal", "not-owner"), (OWNER_HEADER, f"{owned.name}/{owned.run}"))
         exchange.reply_problem(409, "another director owns this session", extra=extra)
         return False
 
-    def _take_rung(self, session: BoxSession, order: RungOrder) -> None:
+    def _take_rung(self, session: BoxSession, order: RungRequest) -> None:
         session.rung, session.rate_kb, session.max_kbps = order.rung, order.rate_kb, order.max_kbps
 
     def _resume(self, exchange: Exchange, set_up: str) -> None:
         """Take a parked session's place up again: the same set-up, so nothing is set up a second time."""
         model, now = self.model, self.loop.time()
         try:
-            order = msgspec.json.decode(exchange.request.body, type=RungOrder)
+            order = msgspec.json.decode(exchange.request.body, type=RungRequest)
         except msgspec.MsgspecError as error:
             exchange.reply_problem(400, "malformed resume", str(error))
             return
@@ -307,29 +313,39 @@
         """Compare and set: what `of` owns in runs up to `upto` is the asker's from now on."""
         owners, model, now_ms = self.owners, self.model, unix_ms()
         try:
-            order = msgspec.json.decode(exchange.request.body, type=TakeOrder)
+            order = msgspec.json.decode(exchange.request.body, type=TakeoverRequest)
         except msgspec.MsgspecError as error:
             exchange.reply_problem(400, "malformed takeover", str(error))
             return
-        if owners.fenced(order.by, order.run) or (order.of == order.by and order.upto >= order.run):
-            self._refuse_fenced(exchange, order.by, 409)
+        if owners.fenced(order.new_owner, order.boot_epoch) or (
+            order.former_owner == order.new_owner and order.max_epoch >= order.boot_epoch
+        ):
+            self._refuse_fenced(exchange, order.new_owner, 409)
             return
-        if order.of != order.by and (heard := owners.streams.get(order.of, 0)):
-            later = 0 < order.upto < heard
-            if later or not order.certain:
+        if order.former_owner != order.new_owner and (heard := owners.streams.get(order.former_owner, 0)):
+            later = 0 < order.max_epoch < heard
+            if later or not order.force:
                 self.takes_refused += 1
                 self._refuse(exchange, "alive", 409)
                 return
-        taken = owners.take(order.of, order.upto, order.by, order.run, now_ms, order.only, MOST_TAKEN)
+        taken = owners.take(
+            order.former_owner,
+            order.max_epoch,
+            order.new_owner,
+            order.boot_epoch,
+            now_ms,
+            order.only_set_up,
+            MAX_SESSIONS_PER_RESPONSE,
+        )
         for set_up in taken.set_ups:
             session = held_session(model, set_up)
-            session.director = order.by
+            session.director = order.new_owner
             session.told_ms = max(session.told_ms, now_ms)
         model.counter += len(taken.set_ups)  # an earlier hello does not tell of them
-        self.streams.expect(order.by)
-        if taken.set_ups and order.of != order.by:
-            self._tell(order.of, TakenThere(taken.set_ups, order.by, now_ms))
-        ends = self.streams.kept_ends(order.by)
+        self.streams.expect(order.new_owner)
+        if taken.set_ups and order.former_owner != order.new_owner:
+            self._tell(order.former_owner, OwnershipLost(taken.set_ups, order.new_owner, now_ms))
+        ends = self.streams.kept_ends(order.new_owner)
         now = self.loop.time()
         answer = make_answer(order, model, owners, ends, more=taken.more, now=now, now_ms=now_ms)
         exchange.reply(200, (("content-type", "application/json"),), msgspec.json.encode(answer))
@@ -409,7 +425,7 @@
         del self.model.sessions[session.set_up]
         if session.set_up in self.owners.sessions:
             self.owners.over(session.set_up, unix_ms())
-            ended = EndedThere(session.set_up, "left", self._ended_ms(session, now))
+            ended = SessionEnded(session.set_up, "left", self._ended_ms(session, now))
             self.streams.keep_end(session.director, ended)
 
     def _end(self, session: BoxSession, how: str) -> None:
@@ -418,7 +434,7 @@
         owned = session.set_up in self.owners.sessions
         if how != "parked":
             self.owners.over(session.set_up, unix_ms())
-        notice = EndedThere(session.set_up, how, ended_ms)
+        notice = SessionEnded(session.set_up, how, ended_ms)
         if owned and how != "parked":
             self.streams.keep_end(session.director, notice)
         self._tell(session.director, notice)
--- a/foxlift/standins/model.py
+++ b/foxlift/standins/model.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from foxlift.boxes.resource import SetUpOrder
+from foxlift.boxes.resource import SetUpRequest
 
 AHEAD = 4.0  # a link with room sends at most so many times the rate, until the player's buffer is full
 CREDIT_S = 3.0  # of its rate a session may have at once after a pause, or at its start
@@ -57,7 +57,7 @@
     paced_to: float = -1e9  # up to when, at its rate, it has been sent what was sent
 
     @classmethod
-    def from_order(cls, set_up: str, order: SetUpOrder, now: float, told_ms: int) -> BoxSession:
+    def from_order(cls, set_up: str, order: SetUpRequest, now: float, told_ms: int) -> BoxSession:
         """A session that begins now, as its director ordered it."""
         run, _, _ = set_up.rpartition("-")[0].rpartition("-")
         return cls(
--- a/foxlift/standins/notice_streams.py
+++ b/foxlift/standins/notice_streams.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from foxlift.boxes.notices import BoxNotice, EndedThere, encode_notice
+from foxlift.boxes.notices import BoxNotice, SessionEnded, encode_notice
 from foxlift.http import StreamOut
 
 MAX_KEPT_ENDS = 200  # of one director's sessions, kept for its next stream or incarnation
@@ -17,7 +17,7 @@
         self._loop = loop
         self._open: dict[str, StreamOut] = {}
         self._lost_at: dict[str, float] = {}  # loop seconds, of directors that have sessions and no stream
-        self._ends: dict[str, dict[str, EndedThere]] = {}
+        self._ends: dict[str, dict[str, SessionEnded]] = {}
 
     def restart(self) -> None:
         """Begin as a new process: no end of an earlier one is known."""
@@ -67,13 +67,13 @@
         if stream is not None:
             stream.write(encode_notice(notice))
 
-    def keep_end(self, director: str, notice: EndedThere) -> None:
+    def keep_end(self, director: str, notice: SessionEnded) -> None:
         """Keep the end of a session, which its director may not have heard."""
         kept = self._ends.setdefault(director, {})
         kept[notice.session] = notice
         while len(kept) > MAX_KEPT_ENDS:
             del kept[next(iter(kept))]
 
-    def kept_ends(self, director: str) -> tuple[EndedThere, ...]:
+    def kept_ends(self, director: str) -> tuple[SessionEnded, ...]:
         """The latest ends of a director's sessions."""
         return tuple(self._ends.get(director, {}).values())
--- a/foxlift/standins/takeovers.py
+++ b/foxlift/standins/takeovers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable, Iterator
 
-from foxlift.boxes.notices import EndedThere
-from foxlift.boxes.takeover import GoneThere, HeldThere, TakeAnswer, TakeOrder
+from foxlift.boxes.notices import SessionEnded
+from foxlift.boxes.takeover import HeldSession, LostSession, TakeoverRequest, TakeoverResponse
 from foxlift.standins.model import BoxModel, BoxSession
 from foxlift.standins.owners import Owners
 
@@ -17,53 +17,53 @@
 
 
 def make_answer(
-    order: TakeOrder,
+    order: TakeoverRequest,
     model: BoxModel,
     owners: Owners,
-    ends: Iterable[EndedThere],
+    ends: Iterable[SessionEnded],
     *,
     more: bool,
     now: float,
     now_ms: int,
-) -> TakeAnswer:
+) -> TakeoverResponse:
     """The answer to an order that was carried out.
 
     `ends`: those kept for the asker; `more`: not all was taken at once; `now`: loop seconds, `now_ms`: Unix.
     """
-    only, owner = owners.became(order.only, order.by) if order.only else ("", "")
-    own = order.of == order.by  # of its own earlier incarnations
-    return TakeAnswer(
+    only, owner = owners.became(order.only_set_up, order.new_owner) if order.only_set_up else ("", "")
+    own = order.former_owner == order.new_owner  # of its own earlier incarnations
+    return TakeoverResponse(
         boot=model.boot,
         counter=model.counter,
         at=now_ms,
-        since=owners.forgot_ms,
+        forgotten_up_to=owners.forgot_ms,
         sessions=tuple(_describe(set_up, model, owners, now) for set_up in _taken_by(order, owners)),
-        gone=_gone(order.by, owners, ends) if own else (),
+        lost=_gone(order.new_owner, owners, ends) if own else (),
         more=more,
-        only=only,  # type: ignore[arg-type]
+        set_up_state=only,  # type: ignore[arg-type]
         owner=owner,
     )
 
 
-def _taken_by(order: TakeOrder, owners: Owners) -> Iterator[str]:
+def _taken_by(order: TakeoverRequest, owners: Owners) -> Iterator[str]:
     """Set-ups that the asker owns by a takeover, through this order or an earlier one."""
     for set_up, owned in owners.sessions.items():
-        is_owner = (owned.name, owned.run) == (order.by, order.run)
-        if owned.taken and is_owner and order.only in (None, set_up):
+        is_owner = (owned.name, owned.run) == (order.new_owner, order.boot_epoch)
+        if owned.taken and is_owner and order.only_set_up in (None, set_up):
             yield set_up
 
 
-def _gone(director: str, owners: Owners, ends: Iterable[EndedThere]) -> tuple[GoneThere, ...]:
+def _gone(director: str, owners: Owners, ends: Iterable[SessionEnded]) -> tuple[LostSession, ...]:
     """What others took of a director's sessions, and what ended."""
     gone = dict(owners.lost.get(director, {}))
     gone |= {end.session: (end.at, "") for end in ends}
-    return tuple(GoneThere(set_up, at, by) for set_up, (at, by) in gone.items())
+    return tuple(LostSession(set_up, at, by) for set_up, (at, by) in gone.items())
 
 
-def _describe(set_up: str, model: BoxModel, owners: Owners, now: float) -> HeldThere:
+def _describe(set_up: str, model: BoxModel, owners: Owners, now: float) -> HeldSession:
     session, owned = held_session(model, set_up), owners.sessions[set_up]
     _, until = model.parked.get(set_up, (None, 0.0))
-    return HeldThere(
+    return HeldSession(
         set_up,
         session.title,
         session.klass,
--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -16,14 +16,14 @@
 
 from foxlift import interface as fl
 from foxlift.boxes import (
-    BadNotice,
     BoxNotice,
     Delivered,
-    EndedThere,
     Hello,
     LinkUse,
+    NoticeError,
     NoticeReader,
-    RungThere,
+    RungInForce,
+    SessionEnded,
     box_outcome,
     read_load,
 )
@@ -62,8 +62,8 @@
     Hello("b#1", 4, ("d-1-0",)),
     Delivered("d-1-0", 0.8),
     LinkUse("d-1-0", 1.2, 0.7),
-    RungThere("d-1-0", 2),
-    EndedThere("d-1-0", "left"),
+    RungInForce("d-1-0", 2),
+    SessionEnded("d-1-0", "left"),
 ]
 
 
@@ -89,7 +89,7 @@
     ],
 )
 def test_a_stream_that_makes_no_sense_is_given_up(data: bytes) -> None:
-    with pytest.raises(BadNotice):
+    with pytest.raises(NoticeError):
         NoticeReader().feed(data)
 
 
