--- a/bench/reloads.py
+++ b/bench/reloads.py
@@ -35,7 +35,7 @@
         world = FleetAndDirector(Path(folder), loop)
         port = await world.start()
         if not remembers:
-            world.daemon.server.ready = lambda data: None
+            world.daemon.server.cached_response = lambda data: None
         asks = []
         for k in range(SESSIONS):
             target = f"/dash/t{k % 12}/manifest.mpd?token={world.token(f'r{k}', title=f't{k % 12}')}"
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -23,7 +23,7 @@
 from foxlift.director.cluster.ports import ForwardableRequest
 from foxlift.director.cluster.service import ClusterService
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Exchange, Failure
+from foxlift.http import Exchange, Failure, Response
 from foxlift.store import DiskFiles
 from foxlift.telemetry import Counters
 from foxlift.zones.evidence import Sight
@@ -123,7 +123,7 @@
         """Never called."""
         raise NotImplementedError
 
-    def relay(self, request: int, answer: Answer) -> None:
+    def relay(self, request: int, answer: Response) -> None:
         """Never called."""
         raise NotImplementedError
 
@@ -144,7 +144,7 @@
         raise NotImplementedError
 
     def send_takeover(
-        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+        self, box: str, order: TakeoverRequest, done: Callable[[Response | Failure], None]
     ) -> bool:
         """There are no media servers, so there is nothing to take over."""
         return False
--- a/foxlift/cli/control.py
+++ b/foxlift/cli/control.py
@@ -19,7 +19,7 @@
 from foxlift.config.control import load_control
 from foxlift.control import messages
 from foxlift.control.service import ControlService
-from foxlift.http import JSON_HEADERS, Answer, Failure, Pool, PoolLimits
+from foxlift.http import JSON_HEADERS, Failure, Pool, PoolLimits, Response
 from foxlift.rollout.entry import Change, EntryError, check_change
 from foxlift.rollout.kinds import check_forms
 from foxlift.rollout.messages import Order, OrderAnswer, Outcome
@@ -162,15 +162,15 @@
     _end(code, f"request {order.request}: {answer.outcome.value}: {answer.reason}")
 
 
-def _call(url: str, method: str, path: str, body: bytes) -> Answer:
+def _call(url: str, method: str, path: str, body: bytes) -> Response:
     address = urlsplit(url)
     if address.scheme != "http" or not address.hostname or not address.port:
         raise click.BadParameter("is not http://host:port", param_hint="--at")
 
-    async def work() -> Answer | Failure:
+    async def work() -> Response | Failure:
         loop = asyncio.get_running_loop()
-        told: asyncio.Future[Answer | Failure] = loop.create_future()
-        limits = PoolLimits(connect_ms=2000.0, max_answer_bytes=MAX_STATUS_BYTES)
+        told: asyncio.Future[Response | Failure] = loop.create_future()
+        limits = PoolLimits(connect_ms=2000.0, max_response_bytes=MAX_STATUS_BYTES)
         pool = Pool(loop, address.hostname or "", address.port or 0, limits)
         headers = JSON_HEADERS if body else ()
         pool.call(method, path, told.set_result, headers=headers, body=body, timeout_ms=ORDER_TIMEOUT_MS)
@@ -181,7 +181,7 @@
 
     found = uvloop.run(work())
     if isinstance(found, Failure):
-        _end(UNKNOWN if found.left and method == "POST" else NO_SYSTEM, f"{url}: {found.kind.value}")
+        _end(UNKNOWN if found.sent and method == "POST" else NO_SYSTEM, f"{url}: {found.kind.value}")
         raise SystemExit
     if found.status != 200:
         _end(NO_SYSTEM, f"{url}: {found.status} {found.body[:200].decode(errors='replace')}")
--- a/foxlift/cli/main.py
+++ b/foxlift/cli/main.py
@@ -30,7 +30,7 @@
 from foxlift.cli.ledger import ledger
 from foxlift.config import ConfigError, load_director, module_settings
 from foxlift.director.daemon import Daemon
-from foxlift.http import Answer, Failure, Pool, PoolLimits
+from foxlift.http import Failure, Pool, PoolLimits, Response
 from foxlift.ledger import load_tariff
 from foxlift.rehearsal import built_in, load_scenario, print_report, run_day, shrink, with_faults
 from foxlift.rehearsal.processes import ChildError
@@ -303,9 +303,9 @@
         raise click.BadParameter("is not http://host:port", param_hint="--at")
     body = json.dumps({"zone": name, "order": None if order == "clear" else order}).encode()
 
-    async def work() -> Answer | Failure:
+    async def work() -> Response | Failure:
         loop = asyncio.get_running_loop()
-        told: asyncio.Future[Answer | Failure] = loop.create_future()
+        told: asyncio.Future[Response | Failure] = loop.create_future()
         pool = Pool(loop, address.hostname or "", address.port or 0, PoolLimits(connect_ms=2000.0))
         headers = (("content-type", "application/json"),)
         pool.call("POST", "/peers/order", told.set_result, headers=headers, body=body, timeout_ms=5000.0)
--- a/foxlift/control/service.py
+++ b/foxlift/control/service.py
@@ -56,7 +56,7 @@
 MAX_CONNECTIONS = 10_000
 MAX_BODY_BYTES = 1 << 18
 IDLE_TIME_MS = 30_000.0
-POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=8, max_answer_bytes=MAX_ANSWER_BYTES)
+POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=8, max_response_bytes=MAX_ANSWER_BYTES)
 
 _decode_watch = msgspec.json.Decoder(Watch).decode
 _decode_watch_answer = msgspec.json.Decoder(WatchAnswer).decode
@@ -211,7 +211,7 @@
             self._replies.pop(reply.number)(reply.answer)
             return
         exchange = self._exchanges.pop(reply.number, None)
-        if exchange is None or exchange.gone:
+        if exchange is None or exchange.disconnected:
             return
         if reply.answer is None:
             exchange.reply_problem(503, "not now", extra=(("retry-after", "1"),))
@@ -239,7 +239,7 @@
     def _hold(self, exchange: Exchange) -> int:
         number = self._next_number()
         self._exchanges[number] = exchange
-        exchange.on_gone = lambda: self._gone(number)
+        exchange.on_disconnect = lambda: self._gone(number)
         return number
 
     def _gone(self, number: int) -> None:
@@ -301,7 +301,7 @@
             return
 
         def stored(before: int | None) -> None:
-            if exchange.gone:
+            if exchange.disconnected:
                 return
             if before is None:
                 exchange.reply_problem(503, "the disk has failed")
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -87,7 +87,7 @@
     def _take(self, request: int) -> Held | None:
         held = self.held.pop(request, None)
         if held is not None:
-            held.exchange.on_gone = None
+            held.exchange.on_disconnect = None
         return held
 
     # ---- Manifests ----------------------------------------------------------------------------------------
@@ -101,7 +101,7 @@
             return "sent back"
         headers, body = self.manifest(session, held.wanted.url_token)
         if not held.passed:
-            held.exchange.remember(lambda data: self._keep_ready(data, session, held.exchange))
+            held.exchange.on_raw_request(lambda data: self._keep_ready(data, session, held.exchange))
         held.exchange.reply(200, headers, body)
         return "manifests"
 
@@ -154,7 +154,7 @@
             return
         known.append(data)
         _, headers, body = session.manifest
-        head = encode_head(200, headers + exchange.shared, len(body), close=False)
+        head = encode_head(200, headers + exchange.common_headers, len(body), close=False)
         self._ready[data] = (session, session.manifest, head + body)
 
     def ready(self, data: bytes) -> bytes | None:
--- a/foxlift/director/cluster/client.py
+++ b/foxlift/director/cluster/client.py
@@ -9,7 +9,7 @@
 
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import JSON_HEADERS
-from foxlift.http import Answer, Failure, Headers, Pool, PoolLimits
+from foxlift.http import Failure, Headers, Pool, PoolLimits, Response
 
 T = TypeVar("T")
 
@@ -41,9 +41,9 @@
     ) -> None:
         """Ask a peer. `done(None)`: no answer, or none that `decode` can read (it raises MsgspecError)."""
 
-        def finished(result: Answer | Failure) -> None:
+        def finished(result: Response | Failure) -> None:
             answer: T | None = None
-            if isinstance(result, Answer) and result.status == 200:
+            if isinstance(result, Response) and result.status == 200:
                 try:
                     answer = decode(result.body)
                 except msgspec.MsgspecError:
@@ -62,7 +62,7 @@
         )
 
     def forward(
-        self, to: str, target: str, headers: Headers, done: Callable[[Answer | Failure], None]
+        self, to: str, target: str, headers: Headers, done: Callable[[Response | Failure], None]
     ) -> None:
         """Forward a viewer's GET to a peer."""
         timeout_ms = self._context.config.peers.pass_ms
@@ -85,5 +85,5 @@
 
     def _new_pool(self, to: str, max_connections: int) -> Pool:
         url = self._context.addresses[to]
-        limits = PoolLimits(max_connections=max_connections, max_answer_bytes=MAX_ANSWER_BYTES)
+        limits = PoolLimits(max_connections=max_connections, max_response_bytes=MAX_ANSWER_BYTES)
         return Pool(self._context.loop, url.hostname or "127.0.0.1", url.port or 80, limits)
--- a/foxlift/director/cluster/disk_trust.py
+++ b/foxlift/director/cluster/disk_trust.py
@@ -79,7 +79,7 @@
         def stored(before: int | None) -> None:
             if before is None:
                 self._server.refuse(exchange, 503, "the disk has failed")
-            elif not exchange.gone:
+            elif not exchange.disconnected:
                 answer = HelloAnswer(self._context.name, self._context.boot_epoch, before)
                 exchange.reply(200, JSON_HEADERS, msgspec.json.encode(answer))
 
--- a/foxlift/director/cluster/epoch_renewal.py
+++ b/foxlift/director/cluster/epoch_renewal.py
@@ -6,7 +6,7 @@
 
 from foxlift.boxes.takeover import FENCE_HEADER
 from foxlift.director.cluster.context import ClusterContext
-from foxlift.http import Answer, Failure
+from foxlift.http import Failure, Response
 
 MIN_INTERVAL_MS = 1000.0
 MAX_FENCE_DIGITS = 16
@@ -20,7 +20,7 @@
         self._in_progress = False
         self._last_at = -1e18
 
-    def renew(self, refusal: Answer | Failure | None = None, above: int = 0) -> None:
+    def renew(self, refusal: Response | Failure | None = None, above: int = 0) -> None:
         """Begin an epoch above `above` and above the fence that a server's refusal names."""
         above = max(above, _fence_of(refusal))
         now = self._context.now()
@@ -40,9 +40,9 @@
         self._on_renewed()
 
 
-def _fence_of(refusal: Answer | Failure | None) -> int:
+def _fence_of(refusal: Response | Failure | None) -> int:
     """The fencing token that a refusal names, 0 for none."""
-    fence = refusal.header(FENCE_HEADER) if isinstance(refusal, Answer) else None
+    fence = refusal.header(FENCE_HEADER) if isinstance(refusal, Response) else None
     if fence is None or not fence.isdigit() or len(fence) > MAX_FENCE_DIGITS:
         return 0
     return int(fence)
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -18,7 +18,7 @@
 from foxlift.director.cluster.ports import Host
 from foxlift.director.cluster.takeovers import TakeoverOrders, TakeoverSchedule
 from foxlift.director.cluster.token_claims import ClaimOutcome, TokenClaims
-from foxlift.http import Answer, Failure
+from foxlift.http import Failure, Response
 from foxlift.recovery import route, takeover
 from foxlift.recovery.claims import Claim
 from foxlift.recovery.route import Verdict
@@ -154,8 +154,8 @@
         self._client.forward(to, viewer.target, (*viewer.headers, sender, waited), answered)
         return True
 
-    def _forwarded(self, request: int, result: Answer | Failure) -> None:
-        if isinstance(result, Answer) and result.status != MISDIRECTED:
+    def _forwarded(self, request: int, result: Response | Failure) -> None:
+        if isinstance(result, Response) and result.status != MISDIRECTED:
             self._handle(route.Answered(request))
             self._host.relay(request, result)
         elif self._routes.knows(request):
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -32,7 +32,7 @@
 from foxlift.director.notice_streams import NoticeStreams
 from foxlift.director.server_pools import ServerPools, Use
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Exchange, Failure, Headers
+from foxlift.http import Exchange, Failure, Headers, Response
 from foxlift.ledger import Ended, Journal
 from foxlift.recovery.claims import Claim
 from foxlift.store import FilePort, IntentBook
@@ -155,7 +155,7 @@
         self.daemon.counters.add("turned down", why.value)
         self.daemon.answers.down(request, why, come_back_ms)
 
-    def relay(self, request: int, answer: Answer) -> None:
+    def relay(self, request: int, answer: Response) -> None:
         """See `Host`."""
         headers = tuple(pair for pair in answer.headers if pair[0] in RELAYED_HEADERS)
         self.daemon.answers.relay(request, answer.status, headers, answer.body)
@@ -271,9 +271,9 @@
         token = session.token
         return write_note(SessionNote(token.viewer, token.expires, token.best_rung, token.length_s))
 
-    def is_refused(self, result: Answer | Failure, set_up: str = "", node: int | None = None) -> bool:
+    def is_refused(self, result: Response | Failure, set_up: str = "", node: int | None = None) -> bool:
         """See `Ownership`. A server that has fenced this director off begins another boot epoch."""
-        if not isinstance(result, Answer):
+        if not isinstance(result, Response):
             return False
         boot = result.header(BOOT_HEADER)
         if node is not None and boot:
@@ -336,7 +336,7 @@
         )
 
     def send_takeover(
-        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+        self, box: str, order: TakeoverRequest, done: Callable[[Response | Failure], None]
     ) -> bool:
         """See `Host`."""
         node = self.node(box)
--- a/foxlift/director/cluster/membership.py
+++ b/foxlift/director/cluster/membership.py
@@ -107,7 +107,7 @@
         self._listener.peer_heard(message.sender)
         number = self._context.next_number()
         self._probes[number] = exchange
-        exchange.on_gone = partial(self._forget, number)
+        exchange.on_disconnect = partial(self._forget, number)
         self._handle(view.Asked(number, message))
 
     def _forget(self, number: int) -> None:
@@ -115,5 +115,5 @@
 
     def _answer(self, number: int, message: messages.Answer) -> None:
         exchange = self._probes.pop(number, None)
-        if exchange is not None and not exchange.gone:
+        if exchange is not None and not exchange.disconnected:
             exchange.reply(200, JSON_HEADERS, messages.write(message))
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -9,7 +9,7 @@
 from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
 from foxlift.decide.claims import Why
 from foxlift.director import events
-from foxlift.http import Answer, Exchange, Failure, Headers
+from foxlift.http import Exchange, Failure, Headers, Response
 from foxlift.zones.evidence import Sight
 
 
@@ -35,7 +35,7 @@
     def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
         """Answer the request without a session; `come_back_ms` 0: no time to come back after."""
 
-    def relay(self, request: int, answer: Answer) -> None:
+    def relay(self, request: int, answer: Response) -> None:
         """Answer the request with another director's answer."""
 
     def receive_forwarded(self, exchange: Exchange) -> None:
@@ -45,7 +45,7 @@
         """The request as it is to be forwarded; None where its viewer has left."""
 
     def send_takeover(
-        self, box: str, order: TakeoverRequest, done: Callable[[Answer | Failure], None]
+        self, box: str, order: TakeoverRequest, done: Callable[[Response | Failure], None]
     ) -> bool:
         """Send an order to a box; False where the box list does not name it."""
 
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -109,7 +109,7 @@
             return
 
         def reply(answer: RegisterAnswer | None) -> None:
-            if exchange.gone:
+            if exchange.disconnected:
                 return
             if answer is None:
                 self._server.refuse(exchange, 503, "not vouched for")
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -34,7 +34,7 @@
 from foxlift.director.cluster.zone_endpoints import ZoneEndpoints
 from foxlift.director.cluster.zone_planning import ZonePlanning
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Failure
+from foxlift.http import Failure, Response
 from foxlift.peers.messages import State
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
@@ -127,7 +127,7 @@
         """The box names sessions of this director that it does not know: have them handed over."""
         self._orders.send(box, self._context.name, self.boot_epoch - 1, True, lambda _: None)
 
-    def renew_epoch(self, refusal: Answer | Failure | None = None) -> None:
+    def renew_epoch(self, refusal: Response | Failure | None = None) -> None:
         """A box says that the present boot epoch is over there: go on in another one."""
         self._renewal.renew(refusal)
 
--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -9,7 +9,7 @@
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.epoch_renewal import EpochRenewal
 from foxlift.director.cluster.ports import Host
-from foxlift.http import Answer, Failure
+from foxlift.http import Failure, Response
 from foxlift.peers.messages import State
 from foxlift.recovery import takeover
 from foxlift.recovery.takeover import Why
@@ -37,7 +37,7 @@
         epoch = context.boot_epoch
         order = TakeoverRequest(owner, up_to_epoch, context.name, epoch, certain, only_set_up)
 
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             if context.closed:
                 return
             answer = _answer_of(result)
@@ -52,9 +52,9 @@
         if not self._host.send_takeover(box, order, answered):
             done(Why.SILENT)
 
-    def _refusal_of(self, result: Answer | Failure, epoch: int) -> Why:
+    def _refusal_of(self, result: Response | Failure, epoch: int) -> Why:
         """Why nothing was taken. Where a server has fenced this director off, a new epoch begins."""
-        if not isinstance(result, Answer) or result.status != CONFLICT:
+        if not isinstance(result, Response) or result.status != CONFLICT:
             return Why.SILENT
         if result.header("foxlift-refusal") == "alive":
             return Why.ALIVE
@@ -63,8 +63,8 @@
         return Why.FENCED
 
 
-def _answer_of(result: Answer | Failure) -> TakeoverResponse | None:
-    if isinstance(result, Answer) and result.status == 200:
+def _answer_of(result: Response | Failure) -> TakeoverResponse | None:
+    if isinstance(result, Response) and result.status == 200:
         return read_takeover_response(result.body)
     return None
 
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -16,7 +16,7 @@
 from foxlift.director.ownership import Ownership
 from foxlift.director.server_pools import ServerPools
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Call, Failure, FailureKind, Headers
+from foxlift.http import Call, Failure, FailureKind, Headers, Response
 from foxlift.telemetry import Counters
 
 COMMAND_TIMEOUT_MS = 2000.0  # of those that no viewer waits for
@@ -26,7 +26,7 @@
     FailureKind.CONNECT: attempts.Loss.CONNECT,
     FailureKind.RESET: attempts.Loss.RESET,
     FailureKind.TIMEOUT: attempts.Loss.TIMEOUT,
-    FailureKind.GARBAGE: attempts.Loss.GARBAGE,
+    FailureKind.INVALID: attempts.Loss.GARBAGE,
     FailureKind.TOO_LARGE: attempts.Loss.GARBAGE,
     FailureKind.CANCELLED: attempts.Loss.CANCELLED,
 }
@@ -68,7 +68,7 @@
     def _set_up(self, put: events.PutSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             self._ownership.is_refused(result, node=put.node)
             self._feed(_outcome_of(key, result))
@@ -106,10 +106,10 @@
     def _resume(self, put: events.PutSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             lost = self._ownership.is_refused(result, put.set_up)
-            if isinstance(result, Answer) and (lost or result.status in (404, 410)):
+            if isinstance(result, Response) and (lost or result.status in (404, 410)):
                 self._feed(events.PlaceGone(put.session.number))
                 # nothing runs: the server says so
                 self._feed(attempts.Answered(*key, False, fl.Outcome.FULL))
@@ -120,7 +120,7 @@
         self.set_ups[key] = self._put_rung(put, "resume", put.timeout_ms, answered)
 
     def _change_rung(self, change: events.ChangeRung) -> None:
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             # the server's next rung notice tells what is in force
             self._ownership.is_refused(result, change.set_up)
 
@@ -131,7 +131,7 @@
         command: events.PutSetUp | events.ChangeRung,
         resource: str,
         timeout_ms: float,
-        answered: Callable[[Answer | Failure], None],
+        answered: Callable[[Response | Failure], None],
     ) -> Call:
         booked = command.booked
         return self._pools.pool(command.node).call(
@@ -145,13 +145,13 @@
 
     def _abort(self, abort: attempts.AbortPut) -> None:
         call = self.set_ups.get((abort.session, abort.attempt))
-        if call is not None and not (abort.if_unsent and call.left):
+        if call is not None and not (abort.if_unsent and call.sent):
             call.cancel()
 
     def _release(self, release: attempts.Release) -> None:
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             others = self._ownership.is_refused(result)
-            if others or (isinstance(result, Answer) and result.status in (200, 204, 404)):
+            if others or (isinstance(result, Response) and result.status in (200, 204, 404)):
                 self._feed(attempts.Released(release.set_up))
             else:
                 self._feed(attempts.ReleaseFailed(release.set_up))
@@ -171,10 +171,10 @@
             send()
 
 
-def _outcome_of(key: AttemptKey, result: Answer | Failure) -> attempts.Answered | attempts.Lost:
+def _outcome_of(key: AttemptKey, result: Response | Failure) -> attempts.Answered | attempts.Lost:
     """What the end of a set-up's call says of the attempt."""
     if isinstance(result, Failure):
-        return attempts.Lost(*key, _LOSSES[result.kind], result.left)
+        return attempts.Lost(*key, _LOSSES[result.kind], result.sent)
     load = read_load(result.header(LOAD_HEADER))
     if result.status not in (200, 201):
         outcome = box_outcome(result.status, result.header("foxlift-refusal"))
--- a/foxlift/director/configuration.py
+++ b/foxlift/director/configuration.py
@@ -27,7 +27,7 @@
 from foxlift.telemetry import Counters
 
 WATCH_TIMEOUT_MS = watcher.OVERDUE_MS + 500.0
-POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=2, max_answer_bytes=MAX_ANSWER_BYTES)
+POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=2, max_response_bytes=MAX_ANSWER_BYTES)
 _decode_answer = msgspec.json.Decoder(WatchAnswer).decode
 
 
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -172,7 +172,7 @@
         # a token in a query is part of the page's or manifest's URL: nobody else is told it
         always = (("referrer-policy", "no-referrer"),)
         self.server = Server(self.loop, self.asked, limits, Cors(front.origins, front.preflight_s), always)
-        self.server.ready = self.answers.ready
+        self.server.cached_response = self.answers.ready
 
     # ---- Life ---------------------------------------------------------------------------------------------
     async def start(self) -> int:
@@ -294,7 +294,7 @@
         self._last_request += 1
         number = self._last_request
         self.answers.hold(number, exchange, wanted, expired, passed)
-        exchange.on_gone = lambda: self._client_gone(number)
+        exchange.on_disconnect = lambda: self._client_gone(number)
         if leaving and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
                 self.answers.down(number, Why.UNREACHED)
--- a/foxlift/director/exports.py
+++ b/foxlift/director/exports.py
@@ -13,7 +13,7 @@
 import structlog
 
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Failure, Pool, PoolLimits
+from foxlift.http import Failure, Pool, PoolLimits, Response
 from foxlift.ledger import Journal, read_records
 from foxlift.ledger import export as ex
 from foxlift.ledger.records import Linked
@@ -98,7 +98,7 @@
             timeout_ms=10_000.0,
         )
 
-    def _event(self, found: Answer | Failure) -> ex.Event:
+    def _event(self, found: Response | Failure) -> ex.Event:
         if isinstance(found, Failure):
             return ex.Lost()
         if found.status == 409:
--- a/foxlift/director/list_client.py
+++ b/foxlift/director/list_client.py
@@ -10,7 +10,7 @@
 import structlog
 
 from foxlift.config import DirectorConfig
-from foxlift.http import Answer, Failure, Pool, PoolLimits
+from foxlift.http import Failure, Pool, PoolLimits, Response
 from foxlift.membership import BoxList, ListAnswer, ListError, ListFailed, read_response
 from foxlift.membership.boxlist import encode_full
 from foxlift.store import FilePort
@@ -40,7 +40,7 @@
         limits = PoolLimits(
             connect_ms=CONNECT_TIMEOUT_MS,
             max_connections=MAX_CONNECTIONS,
-            max_answer_bytes=MAX_ANSWER_BYTES,
+            max_response_bytes=MAX_ANSWER_BYTES,
         )
         self._pool = Pool(loop, url.hostname or "127.0.0.1", url.port or 80, limits)
 
@@ -84,7 +84,7 @@
         """Close all connections."""
         self._pool.close()
 
-    def _answered(self, result: Answer | Failure) -> None:
+    def _answered(self, result: Response | Failure) -> None:
         if isinstance(result, Failure) or result.status not in (200, 304):
             self._feed(ListFailed())
             return
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -11,7 +11,7 @@
 from foxlift.director import events
 from foxlift.director.ownership import Ownership
 from foxlift.director.server_pools import ServerPools, Use
-from foxlift.http import Answer, Call, Failure
+from foxlift.http import Call, Failure, Response
 
 
 class NoticeStreams:
@@ -45,7 +45,7 @@
             if not self._read(node, reader, data):
                 call.cancel()
 
-        def ended(result: Answer | Failure) -> None:
+        def ended(result: Response | Failure) -> None:
             self._ownership.is_refused(result)
             if self.open_streams.get(node) is call:
                 del self.open_streams[node]
--- a/foxlift/director/ownership.py
+++ b/foxlift/director/ownership.py
@@ -6,7 +6,7 @@
 
 from foxlift.boxes.notices import BoxNotice
 from foxlift.director import events
-from foxlift.http import Answer, Failure, Headers
+from foxlift.http import Failure, Headers, Response
 
 
 class Ownership(Protocol):
@@ -26,7 +26,7 @@
     def note(self, session: events.Session) -> str:
         """What a server keeps for whoever takes this session over."""
 
-    def is_refused(self, result: Answer | Failure, set_up: str = "", node: int | None = None) -> bool:
+    def is_refused(self, result: Response | Failure, set_up: str = "", node: int | None = None) -> bool:
         """Whether a server said that another director owns what was commanded; follows what it says."""
 
     def may_stream(self, node: int) -> bool:
@@ -53,7 +53,7 @@
         """See `Ownership`."""
         return ""
 
-    def is_refused(self, result: Answer | Failure, set_up: str = "", node: int | None = None) -> bool:
+    def is_refused(self, result: Response | Failure, set_up: str = "", node: int | None = None) -> bool:
         """See `Ownership`."""
         return False
 
--- a/foxlift/director/server_pools.py
+++ b/foxlift/director/server_pools.py
@@ -61,5 +61,5 @@
             connect_ms=config.connect_ms,
             max_connections=config.max_connections,
             idle_ms=config.idle_ms,
-            max_answer_bytes=largest,
+            max_response_bytes=largest,
         )
--- a/foxlift/http/__init__.py
+++ b/foxlift/http/__init__.py
@@ -1,14 +1,13 @@
 """HTTP/1.1 server and client as asyncio protocols on httptools, with limits on what a peer may cost."""
 
-from foxlift.http.client import Answer, Call, Failure, FailureKind, Pool, PoolLimits
+from foxlift.http.client import Call, Failure, FailureKind, Pool, PoolLimits, Response
 from foxlift.http.cors import Cors
 from foxlift.http.messages import Headers, Limits, Request, header, problem
 from foxlift.http.named_pools import JSON_HEADERS, NamedPools
-from foxlift.http.server import Exchange, Server, StreamOut
+from foxlift.http.server import Exchange, ResponseStream, Server
 
 __all__ = [
     "JSON_HEADERS",
-    "Answer",
     "Call",
     "Cors",
     "Exchange",
@@ -20,8 +19,9 @@
     "Pool",
     "PoolLimits",
     "Request",
+    "Response",
+    "ResponseStream",
     "Server",
-    "StreamOut",
     "header",
     "problem",
 ]
--- a/foxlift/http/client.py
+++ b/foxlift/http/client.py
@@ -1,11 +1,11 @@
 """The asking side: a pool of connections, one call at a time on each, no repeats of its own.
 
-A call's phases. What matters to a caller is whether the peer can have acted on it: from `LEFT` on it can.
+A call's phases. What matters to a caller is whether the peer can have acted on it: from `SENT` on it can.
 
     WAITING   no connection yet             cancelled or timed out here: provably never sent
-    LEFT      bytes handed to the transport any failure from here on: may have run
+    SENT      bytes handed to the transport any failure from here on: may have run
     BODY      header section of the answer read
-    OVER      result told, once
+    DONE      result told, once
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
     CONNECT = "no connection"
     RESET = "connection lost"
     TIMEOUT = "no answer in time"
-    GARBAGE = "answer cannot be read"
+    INVALID = "answer cannot be read"
     TOO_LARGE = "answer too large"
     CANCELLED = "called off"
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A call without an answer. `left`: whether any byte of it was handed to a connection."""
+    """A call without an answer. `sent`: whether any byte of it was handed to a connection."""
 
     kind: FailureKind
-    left: bool
+    sent: bool
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A whole answer; with a streamed body, its head."""
 
     status: int
@@ -55,7 +55,7 @@
         return header(self.headers, name)
 
 
-Result = Answer | Failure
+Result = Response | Failure
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     connect_ms: float = 250.0
     max_connections: int = 64
     idle_ms: float = 4000.0
-    max_answer_bytes: int = 65_536
+    max_response_bytes: int = 65_536
     max_header_bytes: int = 16_384
 
 
@@ -73,9 +73,9 @@
     """How far a call has come."""
 
     WAITING = "waiting for a connection"
-    LEFT = "handed to a connection"
+    SENT = "handed to a connection"
     BODY = "answer begun"
-    OVER = "over"
+    DONE = "over"
 
 
 class Call:
@@ -86,7 +86,7 @@
         pool: Pool,
         data: bytes,
         on_result: Callable[[Result], None],
-        on_head: Callable[[Answer], None] | None,
+        on_head: Callable[[Response], None] | None,
         on_data: Callable[[bytes], None] | None,
     ) -> None:
         self._pool, self._data, self._on_result = pool, data, on_result
@@ -96,9 +96,9 @@
         self._timer: asyncio.TimerHandle | None = None
 
     @property
-    def left(self) -> bool:
+    def sent(self) -> bool:
         """Whether any byte of the request may have left this process."""
-        return self.phase in (Phase.LEFT, Phase.BODY)
+        return self.phase in (Phase.SENT, Phase.BODY)
 
     @property
     def streaming(self) -> bool:
@@ -113,11 +113,11 @@
         self._timer = self._pool.loop.call_later(timeout_ms / 1000, self._give_up, FailureKind.TIMEOUT)
 
     def _give_up(self, kind: FailureKind) -> None:
-        if self.phase is Phase.OVER:
+        if self.phase is Phase.DONE:
             return
-        connection, left = self._connection, self.left
+        connection, sent = self._connection, self.sent
         self._pool.forget(self)
-        self._settle(Failure(kind, left))
+        self._settle(Failure(kind, sent))
         if connection is not None:
             connection.call = None
             connection.abort()  # an answer may still come on it: it can serve no other call
@@ -125,11 +125,11 @@
     def _go(self, connection: _ClientConnection) -> None:
         self._connection = connection
         if connection.begin(self, self._data):
-            self.phase = Phase.LEFT
+            self.phase = Phase.SENT
         else:  # closed under our hands, before a byte was handed over
             self._pool.loop.call_soon(self._settle, Failure(FailureKind.CONNECT, False, "closed"))
 
-    def _head(self, answer: Answer) -> None:
+    def _head(self, answer: Response) -> None:
         self.phase = Phase.BODY
         if self._on_head is not None:
             self._on_head(answer)
@@ -139,9 +139,9 @@
             self._on_data(data)
 
     def _settle(self, result: Result) -> None:
-        if self.phase is Phase.OVER:
+        if self.phase is Phase.DONE:
             return
-        self.phase = Phase.OVER
+        self.phase = Phase.DONE
         if self._timer is not None:
             self._timer.cancel()
         self._connection = None
@@ -189,10 +189,10 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             too_large = isinstance(error.__context__, _TooLarge)
-            self._fail(FailureKind.TOO_LARGE if too_large else FailureKind.GARBAGE, type(error).__name__)
+            self._fail(FailureKind.TOO_LARGE if too_large else FailureKind.INVALID, type(error).__name__)
             return
         except httptools.HttpParserUpgrade:
-            self._fail(FailureKind.GARBAGE, "upgrade")
+            self._fail(FailureKind.INVALID, "upgrade")
             return
         if self._in_head and self.call is not None and self._head_size > self.pool.limits.max_header_bytes:
             self._fail(FailureKind.TOO_LARGE, "header section")
@@ -219,7 +219,7 @@
         if sum(len(k) + len(v) for k, v in self._headers) > self.pool.limits.max_header_bytes:
             raise _TooLarge
         if self.call is not None and self._parser.get_status_code() >= 200:
-            self.call._head(Answer(self._parser.get_status_code(), tuple(self._headers), b""))
+            self.call._head(Response(self._parser.get_status_code(), tuple(self._headers), b""))
 
     def on_body(self, body: bytes) -> None:
         call = self.call
@@ -229,7 +229,7 @@
             call._piece(body)
             return
         self._size += len(body)
-        if self._size > self.pool.limits.max_answer_bytes:
+        if self._size > self.pool.limits.max_response_bytes:
             raise _TooLarge
         self._body.append(body)
 
@@ -241,7 +241,7 @@
         call, self.call = self.call, None
         if call is None:
             return
-        answer = Answer(status, tuple(self._headers), b"".join(self._body))
+        answer = Response(status, tuple(self._headers), b"".join(self._body))
         if self._parser.should_keep_alive():
             self.pool.give_back(self)
         else:
@@ -285,7 +285,7 @@
         headers: Headers = (),
         body: bytes = b"",
         timeout_ms: float | None = None,
-        on_head: Callable[[Answer], None] | None = None,
+        on_head: Callable[[Response], None] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Call:
         """Send a request as soon as a connection is free. With `on_data` the body is streamed to it."""
--- a/foxlift/http/cors.py
+++ b/foxlift/http/cors.py
@@ -66,11 +66,11 @@
         return self._headers(origin) if origin in self._origins else (("vary", "Origin"),)
 
     @property
-    def lets_in_any(self) -> bool:
+    def allows_any(self) -> bool:
         """Whether answers are the same for every origin."""
         return self._any
 
-    def lets_in(self, origin: str) -> bool:
+    def allows(self, origin: str) -> bool:
         """Whether a page of this origin may read answers."""
         return self._any or origin in self._origins
 
@@ -89,7 +89,7 @@
 
     def _make(self, origin: str) -> bytes:
         headers: Headers = (("allow", METHODS),)
-        if origin and self.lets_in(origin):
+        if origin and self.allows(origin):
             headers += (
                 ("access-control-allow-origin", origin),
                 ("access-control-allow-methods", METHODS),
--- a/foxlift/http/messages.py
+++ b/foxlift/http/messages.py
@@ -23,7 +23,7 @@
     max_pipelined: int = 8
     header_time_ms: float = 10_000.0
     idle_time_ms: float = 60_000.0
-    write_buffer: int = 262_144
+    write_buffer_bytes: int = 262_144
 
 
 @dataclass(frozen=True, slots=True)
--- a/foxlift/http/named_pools.py
+++ b/foxlift/http/named_pools.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from foxlift.http.client import Answer, Failure, Pool, PoolLimits
+from foxlift.http.client import Failure, Pool, PoolLimits, Response
 from foxlift.http.messages import Headers
 
 T = TypeVar("T")
@@ -47,9 +47,9 @@
     ) -> None:
         """POST to a server. `done(None)`: no 200, or no body that `decode` reads (it raises MsgspecError)."""
 
-        def finished(result: Answer | Failure) -> None:
+        def finished(result: Response | Failure) -> None:
             answer: T | None = None
-            if isinstance(result, Answer) and result.status == 200:
+            if isinstance(result, Response) and result.status == 200:
                 try:
                     answer = decode(result.body)
                 except msgspec.MsgspecError:
--- a/foxlift/http/server.py
+++ b/foxlift/http/server.py
@@ -36,7 +36,7 @@
     CLOSED = "closed"
 
 
-class StreamOut:
+class ResponseStream:
     """A body sent in pieces: chunked (RFC 9112 section 7.1), or of a length stated before."""
 
     def __init__(self, exchange: Exchange, body_allowed: bool, chunked: bool) -> None:
@@ -65,25 +65,25 @@
         "_connection",
         "_held",
         "answered",
+        "common_headers",
         "done",
         "keep_alive",
-        "on_gone",
+        "on_disconnect",
         "request",
-        "shared",
         "stream",
     )
 
     def __init__(self, connection: _Connection, request: Request, keep_alive: bool) -> None:
         self._connection: _Connection | None = connection
         self.request, self.keep_alive = request, keep_alive
-        self.shared = connection.server.shared_headers(request)  # what every answer here carries
-        self.on_gone: Callable[[], None] | None = None
+        self.common_headers = connection.server.common_headers_for(request)  # what every answer here carries
+        self.on_disconnect: Callable[[], None] | None = None
         self.answered = self.done = False
-        self.stream: StreamOut | None = None
+        self.stream: ResponseStream | None = None
         self._held: list[bytes] = []  # written before its turn among pipelined answers
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the peer has left: nothing that is written arrives any more."""
         return self._connection is None
 
@@ -92,7 +92,7 @@
         self._begin()
         keep = self.keep_alive and not (self._connection is not None and self._connection.server.stopping)
         self.keep_alive = keep
-        head = encode_head(status, headers + self.shared, len(body), close=not keep)
+        head = encode_head(status, headers + self.common_headers, len(body), close=not keep)
         self._write(head if self.request.method == "HEAD" or status in (204, 304) else head + body)
         self._finish()
 
@@ -107,14 +107,14 @@
         headers, body = problem(status, title, detail)
         self.reply(status, headers + extra, body)
 
-    def start_stream(self, status: int, headers: Headers = (), length: int | None = None) -> StreamOut:
+    def start_stream(self, status: int, headers: Headers = (), length: int | None = None) -> ResponseStream:
         """Send the header section; the body follows in pieces, `length` bytes where that is known.
 
         A caller that cannot send as many as it stated aborts.
         """
         self._begin()
-        self.stream = StreamOut(self, self.request.method != "HEAD", length is None)
-        self._write(encode_head(status, headers + self.shared, length, close=not self.keep_alive))
+        self.stream = ResponseStream(self, self.request.method != "HEAD", length is None)
+        self._write(encode_head(status, headers + self.common_headers, length, close=not self.keep_alive))
         return self.stream
 
     def abort(self) -> None:
@@ -122,10 +122,10 @@
         if self._connection is not None:
             self._connection.abort()
 
-    def remember(self, with_bytes: Callable[[bytes], None]) -> None:
+    def on_raw_request(self, with_bytes: Callable[[bytes], None]) -> None:
         """Before the answer: learn the bytes of this request, if it came whole, alone and is kept alive."""
         if self._connection is not None and self.keep_alive:
-            self._connection._remember = with_bytes
+            self._connection._on_raw_request = with_bytes
 
     def _begin(self) -> None:
         if self.answered:
@@ -164,13 +164,13 @@
         self._closing = False
         self._paused = False
         self._messages = 0
-        self._remember: Callable[[bytes], None] | None = None
+        self._on_raw_request: Callable[[bytes], None] | None = None
         self._peer = ""
 
     # ---- asyncio.Protocol ---------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=self.server.limits.write_buffer)
+        self.transport.set_write_buffer_limits(high=self.server.limits.write_buffer_bytes)
         name = transport.get_extra_info("peername")
         self._peer = name[0] if isinstance(name, tuple) else ""
         if not self.server.add(self):
@@ -195,16 +195,16 @@
         if self.state is _State.CLOSED or self._closing:
             return
         began_idle = self.state is _State.IDLE and not self.exchanges
-        if began_idle and (answer := self.server.ready(data)) is not None:
+        if began_idle and (answer := self.server.cached_response(data)) is not None:
             self._deadline = self.server.loop.time() + self.server.limits.idle_time_ms / 1000
             self.send(answer)
             return
         before = self._messages
         self._read(data)
         if began_idle and self._messages == before + 1 and self.state is _State.IDLE:
-            remember, self._remember = self._remember, None
-            if remember is not None:
-                remember(data)
+            callback, self._on_raw_request = self._on_raw_request, None
+            if callback is not None:
+                callback(data)
 
     def _read(self, data: bytes) -> None:
         if self.state is _State.IDLE:
@@ -301,7 +301,7 @@
         )
         exchange = Exchange(self, request, self._parser.should_keep_alive())
         self._messages += 1
-        self._remember = None
+        self._on_raw_request = None
         self.exchanges.append(exchange)
         self._arm(self.server.limits.idle_time_ms)
         if len(self.exchanges) > self.server.limits.max_pipelined:
@@ -357,7 +357,7 @@
     def _refuse(self, status: int, title: str) -> None:
         """Answer what could not be read, after what was asked before it, and close."""
         self._closing = True
-        self.server.refused += 1
+        self.server.rejected_requests += 1
         if self.transport is not None and not self.exchanges:
             headers, body = problem(status, title)
             self.transport.write(encode_head(status, headers, len(body), True) + body)
@@ -379,8 +379,8 @@
         left, self.exchanges = list(self.exchanges), deque()
         for exchange in left:
             exchange._connection = None
-            if not exchange.done and exchange.on_gone is not None:
-                exchange.on_gone()
+            if not exchange.done and exchange.on_disconnect is not None:
+                exchange.on_disconnect()
 
     def _arm(self, delay_ms: float) -> None:
         """Set the connection's one deadline; the timer is moved only when it comes due early."""
@@ -430,19 +430,19 @@
         handler: Handler,
         limits: Limits,
         cors: Cors | None = None,
-        always: Headers = (),
+        extra_headers: Headers = (),
     ) -> None:
-        """`cors`: who of other origins is let in, and OPTIONS answered here; `always`: on every answer."""
+        """`cors`: allowed origins; answers OPTIONS if given. `extra_headers`: sent with every response."""
         self.loop, self.handler, self.limits = loop, handler, limits
-        self.cors, self._always = cors, always
+        self.cors, self._extra_headers = cors, extra_headers
         # where any origin is let in, the same for every request
-        same = cors is None or cors.lets_in_any
-        self._shared = always + (() if cors is None else cors.headers({})) if same else None
+        same = cors is None or cors.allows_any
+        self._common_headers = extra_headers + (() if cors is None else cors.headers({})) if same else None
         # a whole answer to a whole request whose bytes are known, without reading it again
-        self.ready: Callable[[bytes], bytes | None] = lambda data: None
+        self.cached_response: Callable[[bytes], bytes | None] = lambda data: None
         self.connections: set[_Connection] = set()
         self.stopping = False
-        self.turned_away = self.refused = 0
+        self.rejected_connections = self.rejected_requests = 0
         self._server: asyncio.Server | None = None
         self._empty: asyncio.Event = asyncio.Event()
 
@@ -467,16 +467,16 @@
                     connection.abort()
         await asyncio.sleep(0)
 
-    def shared_headers(self, request: Request) -> Headers:
+    def common_headers_for(self, request: Request) -> Headers:
         """What every answer to this request carries."""
-        if self._shared is not None or self.cors is None:
-            return self._shared or ()
-        return self._always + self.cors.headers(request.headers)
+        if self._common_headers is not None or self.cors is None:
+            return self._common_headers or ()
+        return self._extra_headers + self.cors.headers(request.headers)
 
     def add(self, connection: _Connection) -> bool:
         """Admit a connection; False where the limit is reached."""
         if len(self.connections) >= self.limits.max_connections:
-            self.turned_away += 1
+            self.rejected_connections += 1
             return False
         self.connections.add(connection)
         return True
--- a/foxlift/standins/box.py
+++ b/foxlift/standins/box.py
@@ -23,7 +23,7 @@
     OWNER_HEADER,
     TakeoverRequest,
 )
-from foxlift.http import Cors, Exchange, Limits, Server, StreamOut
+from foxlift.http import Cors, Exchange, Limits, ResponseStream, Server
 from foxlift.standins.held_port import HeldPort
 from foxlift.standins.load_reports import LoadReports
 from foxlift.standins.media import Filler, Media
@@ -188,20 +188,20 @@
 
     def _refuse_fenced(self, exchange: Exchange, director: str, status: int = 503) -> None:
         """This run of the director is over here: which one is over is told, so that its next one is above."""
-        if not exchange.gone:
+        if not exchange.disconnected:
             extra = (("foxlift-refusal", "fenced"), (FENCE_HEADER, str(self.owners.fences.get(director, 0))))
             exchange.reply_problem(status, "this run is over here", extra=(*extra, *self.reports.header()))
 
     def _refuse(self, exchange: Exchange, why: str, status: int = 503) -> None:
         """The box's own word that nothing was done."""
-        if not exchange.gone:
+        if not exchange.disconnected:
             exchange.reply_problem(status, why, extra=(("foxlift-refusal", why), *self.reports.header()))
 
     def _set_up_done(self, exchange: Exchange, set_up: str, order: SetUpRequest, lost: bool) -> None:
         model, now = self.model, self.loop.time()
         model.setting_up -= 1
         if set_up in model.gone:
-            if not exchange.gone:
+            if not exchange.disconnected:
                 exchange.reply_problem(410, "released meanwhile")
             return
         if order.boot_epoch and self.owners.fenced(order.director, order.boot_epoch):
@@ -214,7 +214,7 @@
             self.owners.begin(set_up, order.director, order.boot_epoch, session.told_ms)
         model.counter += 1
         self.streams.expect(order.director)
-        if lost or exchange.gone:
+        if lost or exchange.disconnected:
             return  # the work is done, the answer is lost
         if self.answer_slowly:
             self._drip(exchange)
@@ -233,7 +233,7 @@
         stream = exchange.start_stream(201, (("content-type", "application/json"),))
 
         def drop() -> None:
-            if not exchange.gone and self.up:
+            if not exchange.disconnected and self.up:
                 stream.write(b" ")
                 self._timers.call_later(1.0, drop)
 
@@ -367,7 +367,7 @@
         self.streams.add(director, stream)
         if keep:
             self.owners.streams[director] = keep
-        exchange.on_gone = lambda: self._notices_gone(director, stream)
+        exchange.on_disconnect = lambda: self._notices_gone(director, stream)
         ends = self.streams.kept_ends(director) if keep else ()
         hello = Hello(self.model.boot, self.model.counter, self._held_by(director, keep), ends)
         stream.write(encode_notice(hello))
@@ -381,7 +381,7 @@
             and (not keep or self.owners.may_command(session.set_up, director, keep))
         )
 
-    def _notices_gone(self, director: str, stream: StreamOut) -> None:
+    def _notices_gone(self, director: str, stream: ResponseStream) -> None:
         if self.streams.remove(director, stream):
             self.owners.streams.pop(director, None)
 
--- a/foxlift/standins/fleet.py
+++ b/foxlift/standins/fleet.py
@@ -98,7 +98,7 @@
         waiting, self._waiting = self._waiting, []
         for exchange, version, asker, timer in waiting:
             timer.cancel()
-            if not exchange.gone:
+            if not exchange.disconnected:
                 self._answer(exchange, version, asker)
 
     def _asked(self, exchange: Exchange) -> None:
@@ -127,7 +127,7 @@
 
     def _nothing(self, exchange: Exchange) -> None:
         self._waiting = [entry for entry in self._waiting if entry[0] is not exchange]
-        if not exchange.gone:
+        if not exchange.disconnected:
             exchange.reply(304)
 
     def _answer(self, exchange: Exchange, version: int, asker: str) -> None:
--- a/foxlift/standins/notice_streams.py
+++ b/foxlift/standins/notice_streams.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from foxlift.boxes.notices import BoxNotice, SessionEnded, encode_notice
-from foxlift.http import StreamOut
+from foxlift.http import ResponseStream
 
 MAX_KEPT_ENDS = 200  # of one director's sessions, kept for its next stream or incarnation
 
@@ -15,7 +15,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._open: dict[str, StreamOut] = {}
+        self._open: dict[str, ResponseStream] = {}
         self._lost_at: dict[str, float] = {}  # loop seconds, of directors that have sessions and no stream
         self._ends: dict[str, dict[str, SessionEnded]] = {}
 
@@ -34,12 +34,12 @@
         if stream is not None:
             stream.finish()
 
-    def add(self, director: str, stream: StreamOut) -> None:
+    def add(self, director: str, stream: ResponseStream) -> None:
         """A director has opened its stream."""
         self._open[director] = stream
         self._lost_at.pop(director, None)
 
-    def remove(self, director: str, stream: StreamOut) -> bool:
+    def remove(self, director: str, stream: ResponseStream) -> bool:
         """A stream is gone; whether it was its director's present one."""
         if self._open.get(director) is not stream:
             return False
--- a/foxlift/standins/segments.py
+++ b/foxlift/standins/segments.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from foxlift.http import Exchange, Request, StreamOut
+from foxlift.http import Exchange, Request, ResponseStream
 from foxlift.standins.media import Media
 from foxlift.standins.model import BoxModel, BoxSession
 from foxlift.standins.timers import Timers
@@ -24,7 +24,7 @@
     """A body on its way to a viewer. `begun_kb`: its session's rate when it began, kB/s."""
 
     exchange: Exchange
-    stream: StreamOut
+    stream: ResponseStream
     session: BoxSession
     body: bytes
     begun_kb: float
@@ -108,7 +108,7 @@
 
     def _send(self, transfer: Transfer, piece: bytes) -> None:
         session = transfer.session
-        if transfer.exchange.gone or self._model.sessions.get(session.set_up) is not session:
+        if transfer.exchange.disconnected or self._model.sessions.get(session.set_up) is not session:
             session.streams -= 1
             transfer.exchange.abort()
             return
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -454,7 +454,7 @@
         over = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(200)]
         turned = parse(await over[-1][0].read())
         assert (turned.status, turned.headers["retry-after"]) == (503, "1")
-        assert world.director.server.turned_away > 0
+        assert world.director.server.rejected_connections > 0
         # the idle ones are closed when their time is up, and the door is open again
         await world.until(lambda: len(world.director.server.connections) < 100, 10.0)
         assert (await world.manifest(world.token("b"))).status == 200
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,15 +13,15 @@
 from sockets import Reply, ask, parse
 
 from foxlift.http import (
-    Answer,
     Exchange,
     Failure,
     FailureKind,
     Limits,
     Pool,
     PoolLimits,
+    Response,
+    ResponseStream,
     Server,
-    StreamOut,
 )
 
 SMALL = Limits(
@@ -49,7 +49,7 @@
 
     def asked(self, exchange: Exchange) -> None:
         self.held.append(exchange)
-        exchange.on_gone = self.left
+        exchange.on_disconnect = self.left
         if self.answer:
             exchange.reply(200, (("x-path", exchange.request.path),), exchange.request.body or b"hello")
 
@@ -200,7 +200,7 @@
         writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
         while not door.held:
             await asyncio.sleep(0.005)
-        stream: StreamOut = door.held[0].start_stream(200)
+        stream: ResponseStream = door.held[0].start_stream(200)
         drained: list[bool] = []
         stream.on_drain = lambda: drained.append(True)
         written = 0
@@ -251,7 +251,7 @@
 
 
 # ---- Client -----------------------------------------------------------------------------------------------
-LIMITS = PoolLimits(connect_ms=300.0, max_connections=1, idle_ms=100.0, max_answer_bytes=1000)
+LIMITS = PoolLimits(connect_ms=300.0, max_connections=1, idle_ms=100.0, max_response_bytes=1000)
 
 
 class Asker:
@@ -260,8 +260,8 @@
     def __init__(self, port: int, limits: PoolLimits = LIMITS) -> None:
         self.pool = Pool(asyncio.get_running_loop(), "127.0.0.1", port, limits)
 
-    async def ask(self, timeout_ms: float = 500.0, method: str = "GET") -> Answer | Failure:
-        found: asyncio.Future[Answer | Failure] = asyncio.get_running_loop().create_future()
+    async def ask(self, timeout_ms: float = 500.0, method: str = "GET") -> Response | Failure:
+        found: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
         self.call = self.pool.call(method, "/", found.set_result, timeout_ms=timeout_ms)
         return await found
 
@@ -301,7 +301,7 @@
     [
         (b"", FailureKind.RESET),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nab", FailureKind.RESET),
-        (b"\0\1\2\r\n\r\n", FailureKind.GARBAGE),
+        (b"\0\1\2\r\n\r\n", FailureKind.INVALID),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 2000\r\n\r\n" + b"y" * 2000, FailureKind.TOO_LARGE),
         (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 20_000, FailureKind.TOO_LARGE),
         (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 20_000 + b"\r\n\r\n", FailureKind.TOO_LARGE),
@@ -313,7 +313,7 @@
     async def test(asker: Asker, _: int) -> None:
         found = await asker.ask()
         assert isinstance(found, Failure)
-        assert (found.kind, found.left) == (kind, True)
+        assert (found.kind, found.sent) == (kind, True)
 
     with_peer(says(data), test)
 
@@ -323,11 +323,11 @@
         blocked = asyncio.ensure_future(asker.ask(400.0))
         await asyncio.sleep(0.05)
         waiting = await asker.ask(100.0)  # the pool's one connection is taken
-        assert waiting == Failure(FailureKind.TIMEOUT, left=False)
-        assert await blocked == Failure(FailureKind.TIMEOUT, left=True)
+        assert waiting == Failure(FailureKind.TIMEOUT, sent=False)
+        assert await blocked == Failure(FailureKind.TIMEOUT, sent=True)
         refused = await Asker(1).ask()
         assert isinstance(refused, Failure)
-        assert (refused.kind, refused.left) == (FailureKind.CONNECT, False)
+        assert (refused.kind, refused.sent) == (FailureKind.CONNECT, False)
 
     with_peer(says(b"", wait=5.0), test)
 
@@ -338,10 +338,10 @@
         await asyncio.sleep(0.05)
         asker.call.cancel()
         asker.call.cancel()
-        assert await first == Failure(FailureKind.CANCELLED, left=True)
+        assert await first == Failure(FailureKind.CANCELLED, sent=True)
         # the peer answers the first only now; the second must not take that for its own
         second = await asker.ask()
-        assert isinstance(second, Answer)
+        assert isinstance(second, Response)
         assert second.body == b"ok"
 
     with_peer(says(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", wait=0.1), test)
@@ -359,7 +359,7 @@
     async def test(asker: Asker, _: int) -> None:
         for _ in range(3):
             found = await asker.ask()
-            assert isinstance(found, Answer)
+            assert isinstance(found, Response)
             assert found.body == b"mine"
             await asyncio.sleep(0.05)
 
