--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -8,7 +8,7 @@
 import re
 from functools import partial
 
-from foxlift.boxes.takeover import TakeAnswer
+from foxlift.boxes.takeover import TakeoverResponse
 from foxlift.consensus import holders_of
 from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director.cluster.client import PeerClient
@@ -18,7 +18,7 @@
 from foxlift.director.cluster.ports import Host
 from foxlift.director.cluster.takeovers import TakeoverOrders, TakeoverSchedule
 from foxlift.director.cluster.token_claims import ClaimOutcome, TokenClaims
-from foxlift.http import Answer, Failure
+from foxlift.http import Failure, Response
 from foxlift.recovery import route, takeover
 from foxlift.recovery.claims import Claim
 from foxlift.recovery.route import Verdict
@@ -123,12 +123,14 @@
         answered = partial(self._box_answered, request, claim.box)
         self._orders.send(claim.box, claim.owner, claim.run, certain, answered, claim.set_up)
 
-    def _box_answered(self, request: int, box: str, answer: TakeAnswer | takeover.Why) -> None:
+    def _box_answered(self, request: int, box: str, answer: TakeoverResponse | takeover.Why) -> None:
         if isinstance(answer, takeover.Why):
             gone = bool(self._boxes) and box not in self._boxes
             self._handle(route.BoxSilent(request, gone))
         else:
-            self._handle(route.BoxTold(request, answer.only, answer.owner, answer.since, answer.boot))
+            self._handle(
+                route.BoxTold(request, answer.set_up_state, answer.owner, answer.forgotten_up_to, answer.boot)
+            )
 
     def _tell(self, tell: route.Tell) -> None:
         self._context.counters.add("routed", tell.verdict.value)
@@ -152,8 +154,8 @@
         self._client.forward(to, viewer.target, (*viewer.headers, sender, waited), answered)
         return True
 
-    def _forwarded(self, request: int, result: Answer | Failure) -> None:
-        if isinstance(result, Answer) and result.status != MISDIRECTED:
+    def _forwarded(self, request: int, result: Response | Failure) -> None:
+        if isinstance(result, Response) and result.status != MISDIRECTED:
             self._handle(route.Answered(request))
             self._host.relay(request, result)
         elif self._routes.knows(request):
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -7,16 +7,16 @@
 import msgspec
 
 from foxlift import interface as fl
-from foxlift.boxes import SetUpOrder, box_outcome, read_load, read_set_up
-from foxlift.boxes.orca import HEADER as LOAD_HEADER
-from foxlift.boxes.resource import RungOrder
+from foxlift.boxes import SetUpRequest, box_outcome, read_load, read_set_up
+from foxlift.boxes.orca import LOAD_HEADER
+from foxlift.boxes.resource import RungRequest
 from foxlift.config import DirectorConfig
 from foxlift.decide import attempts
 from foxlift.director import events
 from foxlift.director.ownership import Ownership
 from foxlift.director.server_pools import ServerPools
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Call, Failure, FailureKind, Headers
+from foxlift.http import Call, Failure, FailureKind, Headers, Response
 from foxlift.telemetry import Counters
 
 COMMAND_TIMEOUT_MS = 2000.0  # of those that no viewer waits for
@@ -26,7 +26,7 @@
     FailureKind.CONNECT: attempts.CallFailure.CONNECT,
     FailureKind.RESET: attempts.CallFailure.RESET,
     FailureKind.TIMEOUT: attempts.CallFailure.TIMEOUT,
-    FailureKind.GARBAGE: attempts.CallFailure.UNREADABLE,
+    FailureKind.INVALID: attempts.CallFailure.UNREADABLE,
     FailureKind.TOO_LARGE: attempts.CallFailure.UNREADABLE,
     FailureKind.CANCELLED: attempts.CallFailure.CANCELLED,
 }
@@ -68,7 +68,7 @@
     def _set_up(self, put: events.PutSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             self._ownership.is_refused(result, node=put.node)
             self._feed(_outcome_of(key, result))
@@ -83,9 +83,9 @@
             timeout_ms=put.timeout_ms,
         )
 
-    def _order(self, put: events.PutSetUp) -> SetUpOrder:
+    def _order(self, put: events.PutSetUp) -> SetUpRequest:
         session, token = put.session, put.session.token
-        return SetUpOrder(
+        return SetUpRequest(
             director=self._config.name,
             title=session.title.name,
             klass=token.klass,
@@ -97,7 +97,7 @@
             path_token=session.path_token,
             within_ms=put.timeout_ms,
             max_kbps=put.booked.max_kbps,
-            run=self._ownership.boot_epoch,
+            boot_epoch=self._ownership.boot_epoch,
             grace_ms=self._ownership.grace_ms,
             note=self._ownership.note(session),
             boot=session.boot if session.paid else "",
@@ -106,10 +106,10 @@
     def _resume(self, put: events.PutSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             lost = self._ownership.is_refused(result, put.set_up)
-            if isinstance(result, Answer) and (lost or result.status in (404, 410)):
+            if isinstance(result, Response) and (lost or result.status in (404, 410)):
                 self._feed(events.PlaceGone(put.session.number))
                 # nothing runs: the server says so
                 self._feed(attempts.Answered(*key, False, fl.Outcome.FULL))
@@ -120,7 +120,7 @@
         self.set_ups[key] = self._put_rung(put, "resume", put.timeout_ms, answered)
 
     def _change_rung(self, change: events.ChangeRung) -> None:
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             # the server's next rung notice tells what is in force
             self._ownership.is_refused(result, change.set_up)
 
@@ -131,7 +131,7 @@
         command: events.PutSetUp | events.ChangeRung,
         resource: str,
         timeout_ms: float,
-        answered: Callable[[Answer | Failure], None],
+        answered: Callable[[Response | Failure], None],
     ) -> Call:
         booked = command.booked
         return self._pools.pool(command.node).call(
@@ -139,19 +139,19 @@
             f"/sessions/{command.set_up}/{resource}",
             answered,
             headers=(*JSON_HEADERS, *self._ownership.headers()),
-            body=msgspec.json.encode(RungOrder(command.rung, booked.rate_kb, booked.max_kbps)),
+            body=msgspec.json.encode(RungRequest(command.rung, booked.rate_kb, booked.max_kbps)),
             timeout_ms=timeout_ms,
         )
 
     def _abort(self, abort: attempts.AbortSetUp) -> None:
         call = self.set_ups.get((abort.session, abort.attempt))
-        if call is not None and not (abort.if_unsent and call.left):
+        if call is not None and not (abort.if_unsent and call.sent):
             call.cancel()
 
     def _release(self, release: attempts.Release) -> None:
-        def answered(result: Answer | Failure) -> None:
+        def answered(result: Response | Failure) -> None:
             others = self._ownership.is_refused(result)
-            if others or (isinstance(result, Answer) and result.status in (200, 204, 404)):
+            if others or (isinstance(result, Response) and result.status in (200, 204, 404)):
                 self._feed(attempts.Released(release.set_up))
             else:
                 self._feed(attempts.ReleaseFailed(release.set_up))
@@ -171,10 +171,10 @@
             send()
 
 
-def _outcome_of(key: AttemptKey, result: Answer | Failure) -> attempts.Answered | attempts.CallFailed:
+def _outcome_of(key: AttemptKey, result: Response | Failure) -> attempts.Answered | attempts.CallFailed:
     """What the end of a set-up's call says of the attempt."""
     if isinstance(result, Failure):
-        return attempts.CallFailed(*key, _LOSSES[result.kind], result.left)
+        return attempts.CallFailed(*key, _LOSSES[result.kind], result.sent)
     load = read_load(result.header(LOAD_HEADER))
     if result.status not in (200, 201):
         outcome = box_outcome(result.status, result.header("foxlift-refusal"))
