--- a/bench/scale/configuration.py
+++ b/bench/scale/configuration.py
@@ -24,7 +24,7 @@
 from foxlift.rollout.content import Content
 from foxlift.rollout.entry import Change, Entry
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import DirectorWatch, Order, Steps, Watch, WatchAnswer
+from foxlift.rollout.messages import ChangeRequest, DirectorWatch, Steps, Watch, WatchResponse
 
 ZONES, REGIONS, MEMBERS = 9, 3, 5
 DIRECTORS_PER_RELAY = 117
@@ -37,7 +37,7 @@
 TITLES = (1_000, 10_000, 100_000)
 REPEATS = 30
 
-_decode_answer = msgspec.json.Decoder(WatchAnswer).decode
+_decode_answer = msgspec.json.Decoder(WatchResponse).decode
 _decode_watch = msgspec.json.Decoder(Watch).decode
 
 
@@ -63,7 +63,7 @@
         members = [name for name in self.world.members if self.world.processes[name].up]
         change = Change({key: title_value(self.number)})
         self.ordered_at[key] = self.world.now
-        self.world.order(members[self.number % len(members)], Order(f"q{self.number}", change))
+        self.world.order(members[self.number % len(members)], ChangeRequest(f"q{self.number}", change))
         self.world.later(IN_FORCE_WITHIN_MS, lambda: self._judge(key))
 
     def _judge(self, key: str) -> None:
@@ -238,12 +238,12 @@
     _, memory = memory_of(lambda: Content({"".join(key): "".join(value) for key, value in values.items()}))
     log = filled_log(titles)
     made = Agent("d0", 1, ("r0",), 1, lambda change: None, log.head, Content(log.content.values))
-    asks = [action.ask for action in made.start() if isinstance(action, agent.SendWatch)]
+    asks = [action.watch_id for action in made.start() if isinstance(action, agent.SendWatch)]
 
     def take(body: bytes) -> None:
-        for action in made.handle(agent.Answered(asks.pop(), _decode_answer(body))):
+        for action in made.handle(agent.WatchAnswered(asks.pop(), _decode_answer(body))):
             if isinstance(action, agent.SendWatch):
-                asks.append(action.ask)
+                asks.append(action.watch_id)
                 msgspec.json.encode(action.watch)
 
     bodies = iter([next_change(log, titles) for _ in range(REPEATS + 1)])
@@ -264,12 +264,12 @@
     def watch_all() -> None:
         for number in range(directors):
             body = msgspec.json.encode(DirectorWatch(f"d{number}", 1, log.head))
-            source.handle(0.0, hub.Watched(number, _decode_watch(body)))
+            source.handle(0.0, hub.WatchReceived(number, _decode_watch(body)))
 
     def one_change() -> None:
         next_change(log, 1_000)
         for reply in source.handle(0.0, hub.LogChanged()):
-            msgspec.json.encode(reply.answer)
+            msgspec.json.encode(reply.response)
         watch_all()
 
     watch_all()
--- a/bench/scale/rollout_schedules.py
+++ b/bench/scale/rollout_schedules.py
@@ -14,7 +14,7 @@
 
 from bench.scale.virtual_rollout import BAD, Process, RolloutWorld, settle
 from foxlift.rollout.entry import Change
-from foxlift.rollout.messages import Order
+from foxlift.rollout.messages import ChangeRequest
 
 STEPS = 25
 CHUNK = 50
@@ -49,9 +49,9 @@
     if what < 0.40:
         request = f"q{chance.randrange(number + 1)}" if chance.random() < 0.2 else f"q{number}"
         value = BAD if chance.random() < 0.15 else str(number)
-        world.order(member, Order(request, Change({f"titles/t{chance.randrange(5)}": value})))
+        world.order(member, ChangeRequest(request, Change({f"titles/t{chance.randrange(5)}": value})))
     elif what < 0.45:
-        world.order(member, Order(f"w{number}", withdraw=chance.randrange(1, number + 2)))
+        world.order(member, ChangeRequest(f"w{number}", withdraw=chance.randrange(1, number + 2)))
     elif what < 0.60:
         world.restart(anybody, chance.choice((5.0, 300.0, 4000.0)))
     elif what < 0.64:
@@ -79,7 +79,7 @@
     """Whether a member has a vote on the next version: those whose own disk was lost have none on some."""
     if not process.up or process.core.member is None:
         return False
-    return bool(process.core.member.acceptor.silent_up_to <= process.core.log.head)
+    return bool(process.core.member.acceptor.abstain_up_to <= process.core.log.head)
 
 
 def _play_chunk(seeds: list[int]) -> list[tuple[int, list[str]]]:
--- a/bench/scale/virtual_rollout.py
+++ b/bench/scale/virtual_rollout.py
@@ -25,8 +25,8 @@
 from foxlift.rollout.content import Content
 from foxlift.rollout.entry import Change, Entry
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import DirectorWatch, Order, OrderAnswer, Outcome, Steps
-from foxlift.rollout.server import ControlServer, Plan
+from foxlift.rollout.messages import ChangeRequest, ChangeResponse, DirectorWatch, Outcome, Steps
+from foxlift.rollout.server import ControlServer, ServerIdentity
 
 BAD = '"bad"'  # a value that directors refuse
 FATAL = '"fatal"'  # a value at which a director ends
@@ -102,7 +102,9 @@
         directors: int = 2,
         loss: float = 0.0,
         count_bytes: bool = False,
-        make_server: Callable[[Plan, ConfigLog, tuple[OpenVersion, ...]], ControlServer] = ControlServer,
+        make_server: Callable[
+            [ServerIdentity, ConfigLog, tuple[OpenVersion, ...]], ControlServer
+        ] = ControlServer,
         make_agent: Callable[..., Agent] = Agent,
         far_ms: float = 40.0,
         kept: int = 16_384,
@@ -199,7 +201,7 @@
         log = copy_log(disk.log, self.kept) if disk.log is not None else ConfigLog(self.kept)
         if disk.log is None:
             disk.log = ConfigLog(self.kept)
-        plan = Plan(process.name, process.run, f"z{process.zone}", self.members, self.seed)
+        plan = ServerIdentity(process.name, process.run, f"z{process.zone}", self.members, self.seed)
         process.core = self.make_server(plan, log, tuple(disk.open.values()))
         self._do(process, process.core.start(self.now + process.clock_ahead))
         if plan.is_member:
@@ -210,7 +212,7 @@
         if process.run != run or not process.up:
             return
         if not lost:
-            self._do(process, process.core.handle(self.now, server.Trusted(False)))
+            self._do(process, process.core.handle(self.now, server.DiskTrusted(False)))
             return
         others = [self.processes[m] for m in self.members if m != process.name and self.processes[m].up]
         reached = [other for other in others if not self.is_cut(process.name, other.name)]
@@ -218,8 +220,8 @@
             self.later(300.0, partial(self._trust, process, run, lost))
             return
         chosen = self.random.sample(reached, (len(self.members) - 1) // 2 + 1)
-        highest = max(other.core.member.acceptor.highest for other in chosen)
-        self._do(process, process.core.handle(self.now, server.Trusted(True, highest)))
+        highest = max(other.core.member.acceptor.highest_version for other in chosen)
+        self._do(process, process.core.handle(self.now, server.DiskTrusted(True, highest)))
 
     def kill(self, name: str, disk: str = "kept") -> None:
         """End a process at once; its disk is `kept` or `lost`."""
@@ -343,24 +345,24 @@
             case server.StartTimer(delay_ms, event) | watcher.StartTimer(delay_ms, event):
                 self.later(delay_ms, partial(self._handle, process, run, event))
             case agent.SendWatch(ask, source, watch):
-                self._watch(process, source, watch, lambda answer: agent.Answered(ask, answer))
+                self._watch(process, source, watch, lambda answer: agent.WatchAnswered(ask, answer))
             case agent.Apply(version, change):
                 self._applied(process, version, change)
             case agent.Persist(version):
                 if not process.disk_full:
                     process.disk.version, process.disk.values = version, dict(process.values)
-            case agent.Say(what):
+            case agent.WriteLog(what):
                 self.record.said[what] += 1
             case server.SendWatch(source, ask, to, relay_watch):
                 self._watch(
                     process,
                     to,
                     relay_watch,
-                    lambda answer: server.OfFollower(source, follower.Answered(ask, answer)),
+                    lambda answer: server.FollowerEvent(source, follower.WatchAnswered(ask, answer)),
                 )
-            case server.ReplyWatch() | server.ReplyOrder() | server.ReplyAsk():
-                self._reply(process, action.number, action.answer)
-            case server.Tell(to, message):
+            case server.ReplyWatch() | server.ReplyChange() | server.ReplyRegister():
+                self._reply(process, action.correlation_id, action.response)
+            case server.SendMessage(to, message):
                 self._tell(process, to, message)
             case _:
                 self._do_of_member(process, action)
@@ -369,21 +371,21 @@
         run, disk = process.run, process.disk
         assert disk.log is not None
         match action:
-            case server.KeepOpen(number, record):
+            case server.StoreOpenVersion(number, record):
                 if process.disk_full:
                     self.later(DISK_MS, partial(self._handle, process, run, server.Stored(number, False)))
                     return
                 disk.open[record.version] = record
                 self.later(DISK_MS, partial(self._handle, process, run, server.Stored(number, True)))
-            case server.KeepEntry(entry):
+            case server.StoreEntry(entry):
                 disk.log.append(entry)
                 disk.open = {v: record for v, record in disk.open.items() if v > disk.log.head}
-            case server.KeepSnapshot():
+            case server.StoreSnapshot():
                 disk.log = copy_log(process.core.log, self.kept)
                 disk.open = {v: record for v, record in disk.open.items() if v > disk.log.head}
             case registers.Send():
                 self._ask_register(process, action)
-            case server.Say(what):
+            case server.WriteLog(what):
                 self.record.said[what] += 1
 
     def _applied(self, process: Process, version: int, change: Change) -> None:
@@ -409,7 +411,7 @@
         def asked(receiver: Process, answered: Callable[[Any], None]) -> None:
             self._last += 1
             receiver.held[self._last] = process.name, answered
-            self._handle(receiver, receiver.run, server.Watched(self._last, watch))  # type: ignore[arg-type]
+            self._handle(receiver, receiver.run, server.WatchReceived(self._last, watch))  # type: ignore[arg-type]
 
         def came(answer: Any) -> None:
             steps = answer.steps if isinstance(watch, DirectorWatch) and isinstance(answer, Steps) else ()
@@ -417,7 +419,7 @@
                 self.record.bad_offered.add(process.name)
             self._handle(process, run, event(answer))
 
-        self._call(process.name, source, watch, asked, came, watcher.OVERDUE_MS + 1000.0)
+        self._call(process.name, source, watch, asked, came, watcher.POLL_TIMEOUT_MS + 1000.0)
 
     def _reply(self, process: Process, number: int, answer: object) -> None:
         _, answered = process.held.pop(number, ("", lambda _: None))
@@ -426,7 +428,7 @@
     def _tell(self, process: Process, to: str, message: object) -> None:
         receiver = self.processes[to]
         if receiver.up:
-            heard = server.Heard(message)  # type: ignore[arg-type]
+            heard = server.MessageReceived(message)  # type: ignore[arg-type]
             deliver = partial(self._handle, receiver, receiver.run, heard)
             self._travel(process.name, to, self._size(message), deliver)
 
@@ -435,18 +437,21 @@
 
         def came(answer: Any) -> None:
             event = registers.Unanswered(send.ask) if answer is None else registers.Answered(send.ask, answer)
-            self._handle(process, run, server.OfRegister(event))
+            self._handle(process, run, server.RegisterEvent(event))
 
         def asked(receiver: Process, answered: Callable[[Any], None]) -> None:
             self._last += 1
             receiver.held[self._last] = process.name, answered
-            self._handle(receiver, receiver.run, server.RegisterAsked(self._last, send.message))
+            self._handle(receiver, receiver.run, server.RegisterRequested(self._last, send.message))
 
         self._call(process.name, send.to, send.message, asked, came, REGISTER_TIMEOUT_MS)
 
     # ---- Operators ----------------------------------------------------------------------------------------
     def order(
-        self, member: str, order: Order, done: Callable[[OrderAnswer | None], None] = lambda _: None
+        self,
+        member: str,
+        order: ChangeRequest,
+        done: Callable[[ChangeResponse | None], None] = lambda _: None,
     ) -> None:
         """An operator's order to a member."""
         receiver = self.processes[member]
@@ -455,9 +460,11 @@
             outcome = answer.outcome.value if answer is not None else "no answer"
             self.record.outcomes[outcome] += 1
             if answer is not None and answer.outcome is Outcome.COMMITTED:
-                before = self.record.committed.setdefault(order.request, answer.version)
+                before = self.record.committed.setdefault(order.request_id, answer.version)
                 if before != answer.version:
-                    self.record.disagreements.append(f"{order.request}: versions {before}, {answer.version}")
+                    self.record.disagreements.append(
+                        f"{order.request_id}: versions {before}, {answer.version}"
+                    )
             done(answer)
 
         if not receiver.up:
@@ -465,7 +472,7 @@
             return
         self._last += 1
         receiver.held[self._last] = member, answered
-        self._handle(receiver, receiver.run, server.Ordered(self._last, order))
+        self._handle(receiver, receiver.run, server.ChangeRequested(self._last, order))
 
     # ---- What is seen -------------------------------------------------------------------------------------
     def log_of(self, name: str) -> ConfigLog:
@@ -511,11 +518,11 @@
             if entry != entries.get(entry.version, entry):
                 faults.append(f"{name}: version {entry.version} is another entry")
     if longest.base == 0:
-        by_request = Counter(entry.request for entry in entries.values())
+        by_request = Counter(entry.request_id for entry in entries.values())
         faults += [f"{request}: {count} entries" for request, count in by_request.items() if count > 1]
         for request, version in world.record.committed.items():
             found = entries.get(version)
-            if found is None or found.request != request:
+            if found is None or found.request_id != request:
                 faults.append(f"{request}: committed at {version}, and not there")
         for name in world.up_directors():
             core = world.processes[name].core
@@ -529,7 +536,7 @@
     """The log as a restarted process reads it from the disk."""
     made = ConfigLog(kept)
     if log.base:
-        made.restore(log.base, log.floor.values, log.requests)
+        made.restore(log.base, log.base_content.values, log.requests)
     for entry in log.entries:
         made.append(entry)
     return made
--- a/foxlift/cli/control.py
+++ b/foxlift/cli/control.py
@@ -21,8 +21,8 @@
 from foxlift.control.service import ControlService
 from foxlift.http import JSON_HEADERS, Answer, Failure, Pool, PoolLimits
 from foxlift.rollout.entry import Change, EntryError, check_change
-from foxlift.rollout.kinds import check_forms
-from foxlift.rollout.messages import Order, OrderAnswer, Outcome
+from foxlift.rollout.kinds import check_values
+from foxlift.rollout.messages import ChangeRequest, ChangeResponse, Outcome
 from foxlift.store import LogError
 from foxlift.telemetry import configure_logs
 
@@ -31,7 +31,7 @@
 MAX_STATUS_BYTES = 1 << 20
 
 _decode_change = msgspec.json.Decoder(dict[str, Any]).decode
-_decode_answer = msgspec.json.Decoder(OrderAnswer).decode
+_decode_answer = msgspec.json.Decoder(ChangeResponse).decode
 _decode_status = msgspec.json.Decoder(messages.Status).decode
 
 
@@ -111,7 +111,7 @@
     except (OSError, EntryError) as error:
         _end(BAD_FILES, f"{file}: {error}")
         return
-    _send(url, Order(request or secrets.token_hex(8), change))
+    _send(url, ChangeRequest(request or secrets.token_hex(8), change))
 
 
 @configuration.command()
@@ -125,7 +125,7 @@
     Example:
       foxlift configuration withdraw 1207 --at http://10.0.0.9:7100
     """
-    _send(url, Order(request or secrets.token_hex(8), withdraw=version))
+    _send(url, ChangeRequest(request or secrets.token_hex(8), withdraw=version))
 
 
 @configuration.command()
@@ -149,17 +149,17 @@
     except msgspec.ValidationError as error:
         raise EntryError(str(error)) from error
     check_change(change)
-    check_forms(change)
+    check_values(change)
     return change
 
 
-def _send(url: str, order: Order) -> None:
-    answer = _decode_answer(_call(url, "POST", messages.ORDERS, msgspec.json.encode(order)).body)
+def _send(url: str, request: ChangeRequest) -> None:
+    answer = _decode_answer(_call(url, "POST", messages.ORDERS, msgspec.json.encode(request)).body)
     if answer.outcome is Outcome.COMMITTED:
-        click.echo(json.dumps({"request": order.request, "version": answer.version}))
+        click.echo(json.dumps({"request": request.request_id, "version": answer.version}))
         return
     code = REFUSED if answer.outcome is Outcome.REFUSED else UNKNOWN
-    _end(code, f"request {order.request}: {answer.outcome.value}: {answer.reason}")
+    _end(code, f"request {request.request_id}: {answer.outcome.value}: {answer.reason}")
 
 
 def _call(url: str, method: str, path: str, body: bytes) -> Answer:
--- a/foxlift/control/disk_trust.py
+++ b/foxlift/control/disk_trust.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from foxlift.config.control import ControlConfig
-from foxlift.control.messages import HELLO, Hello, HelloAnswer
+from foxlift.control.messages import HELLO, Hello, HelloResponse
 from foxlift.director.timeline import Timeline
 from foxlift.http import NamedPools
 from foxlift.recovery import standing
-from foxlift.rollout.books import ServerBook
+from foxlift.rollout.stores import ServerStore
 
 HELLO_TIMEOUT_MS = 1000.0
-_decode_answer = msgspec.json.Decoder(HelloAnswer).decode
+_decode_answer = msgspec.json.Decoder(HelloResponse).decode
 
 
 class DiskTrust:
@@ -28,16 +28,16 @@
     def __init__(
         self,
         config: ControlConfig,
-        book: ServerBook,
+        store: ServerStore,
         client: NamedPools,
         timeline: Timeline,
         on_trusted: Callable[[bool, int], None],
     ) -> None:
         others = [member.name for member in config.members if member.name != config.name]
-        self._name, self._book, self._client, self._timeline = config.name, book, client, timeline
+        self._name, self._store, self._client, self._timeline = config.name, store, client, timeline
         self._on_trusted = on_trusted
         self._highest = 0
-        self._standing = standing.Standing(others, book.last_run, config.seed, config.trust_disk)
+        self._standing = standing.Standing(others, store.previous_boot_epoch, config.seed, config.trust_disk)
 
     def start(self) -> None:
         """Ask the others."""
@@ -57,10 +57,10 @@
                     self._on_trusted(lost, self._highest)
 
     def _say_hello(self, member: str) -> None:
-        def answered(answer: HelloAnswer | None) -> None:
+        def answered(answer: HelloResponse | None) -> None:
             if answer is not None and answer.sender == member:
-                self._highest = max(self._highest, answer.highest)
-                self._handle(standing.Told(member, answer.before))
+                self._highest = max(self._highest, answer.highest_version)
+                self._handle(standing.Told(member, answer.previous_boot_epoch))
 
-        body = msgspec.json.encode(Hello(self._name, self._book.run))
+        body = msgspec.json.encode(Hello(self._name, self._store.boot_epoch))
         self._client.request(member, HELLO, body, HELLO_TIMEOUT_MS, _decode_answer, answered)
--- a/foxlift/control/messages.py
+++ b/foxlift/control/messages.py
@@ -10,7 +10,7 @@
 from foxlift.accord import Answer as RegisterAnswer
 from foxlift.accord import Ask as RegisterAsk
 from foxlift.rollout.entry import Name, Version
-from foxlift.rollout.messages import Epoch
+from foxlift.rollout.messages import BootEpoch
 
 ORDERS = "/config/orders"
 REGISTERS = "/config/registers"
@@ -24,30 +24,30 @@
     """A proposer's message to a member's acceptor."""
 
     sender: Name
-    run: Epoch
-    ask: RegisterAsk
+    boot_epoch: BootEpoch = msgspec.field(name="run")
+    message: RegisterAsk = msgspec.field(name="ask")
 
 
 class RegisterResponse(msgspec.Struct, frozen=True):
     """The acceptor's answer."""
 
     sender: Name
-    answer: RegisterAnswer
+    message: RegisterAnswer = msgspec.field(name="answer")
 
 
 class Hello(msgspec.Struct, frozen=True):
     """A member has started in a new run."""
 
     sender: Name
-    run: Epoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
 
 
-class HelloAnswer(msgspec.Struct, frozen=True):
+class HelloResponse(msgspec.Struct, frozen=True):
     """The run known before, 0 for none, and the highest version that the answerer has taken a value of."""
 
     sender: Name
-    before: Epoch
-    highest: Version
+    previous_boot_epoch: BootEpoch = msgspec.field(name="before")
+    highest_version: Version = msgspec.field(name="highest")
 
 
 class MemberStatus(msgspec.Struct, frozen=True, rename="kebab"):
--- a/foxlift/control/status.py
+++ b/foxlift/control/status.py
@@ -11,11 +11,11 @@
 
 def status_of(core: ControlServer, now: float) -> Status:
     """The status; `now` in ms on the core's clock."""
-    log, plan, member = core.log, core.plan, core.member
-    own = core.hub.roster.report(now, plan.name, plan.run, plan.zone, log.head)
-    reports = [own] if member is None else member.judge.fresh(now)
+    log, plan, member = core.log, core.identity, core.member
+    own = core.hub.roster.report(now, plan.name, plan.boot_epoch, plan.zone, log.head)
+    reports = [own] if member is None else member.release_policy.recent_reports(now)
     told = [report for report in reports if report.directors]
-    alive = set(member.alive(now)) if member is not None else set()
+    alive = set(member.alive_members(now)) if member is not None else set()
     return Status(
         name=plan.name,
         role="relay" if member is None else "member",
@@ -26,7 +26,7 @@
         keys=len(log.content.values),
         directors=sum(report.directors for report in told),
         in_force=min((report.least for report in told), default=0),
-        leads=member is not None and member.leads(now),
+        leads=member is not None and member.is_leader(now),
         members=tuple(MemberStatus(name, name in alive) for name in plan.members) if alive else (),
         refusals=_refusals(told),
         reverts=_reverts(core),
--- a/foxlift/director/configuration.py
+++ b/foxlift/director/configuration.py
@@ -20,15 +20,15 @@
 from foxlift.http import NamedPools, PoolLimits
 from foxlift.rollout import agent, watcher
 from foxlift.rollout.agent import Agent
-from foxlift.rollout.books import DirectorBook
 from foxlift.rollout.entry import Change
-from foxlift.rollout.messages import MAX_ANSWER_BYTES, WATCH_PATH, WatchAnswer
+from foxlift.rollout.messages import MAX_RESPONSE_BYTES, WATCH_PATH, WatchResponse
+from foxlift.rollout.stores import DirectorStore
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
 
-WATCH_TIMEOUT_MS = watcher.OVERDUE_MS + 500.0
-POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=2, max_answer_bytes=MAX_ANSWER_BYTES)
-_decode_answer = msgspec.json.Decoder(WatchAnswer).decode
+WATCH_TIMEOUT_MS = watcher.POLL_TIMEOUT_MS + 500.0
+POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=2, max_answer_bytes=MAX_RESPONSE_BYTES)
+_decode_answer = msgspec.json.Decoder(WatchResponse).decode
 
 
 class ConfigurationFeed:
@@ -47,7 +47,7 @@
         self._timeline, self._counters = timeline, counters
         self._log = structlog.get_logger().bind(director=config.name)
         self._titles = TitleChanges(catalogue, Path(config.catalogue.folder), config.fleet.cells)
-        self._book = DirectorBook(files)
+        self._store = DirectorStore(files)
         self._disk_failed = False
         self._put_kept_in_force()
         relays = config.configuration.relays
@@ -58,21 +58,21 @@
             tuple(relay.name for relay in relays),
             config.seed,
             self._titles.check,
-            self._book.version,
-            self._book.content,
+            self._store.version,
+            self._store.content,
         )
 
     def _put_kept_in_force(self) -> None:
-        if self._book.unusable:
-            self._log.error("configuration on disk not used", detail=self._book.unusable)
-        kept = Change(dict(self._book.content.values))
+        if self._store.unusable_reason:
+            self._log.error("configuration on disk not used", detail=self._store.unusable_reason)
+        kept = Change(dict(self._store.content.values))
         problem = self._titles.check(kept)
         if problem is None:
             self._titles.apply(kept)
             return
         detail = f"{problem.key}: {problem.cause}"
         self._log.error("configuration on disk not used", detail=detail)
-        self._book.start_anew(detail)
+        self._store.reset(detail)
 
     @property
     def version(self) -> int:
@@ -82,7 +82,7 @@
     @property
     def flushed(self) -> bool:
         """Whether nothing waits to be written to the disk."""
-        return self._book.flushed
+        return self._store.flushed
 
     def start(self) -> None:
         """Watch the first relay."""
@@ -92,7 +92,7 @@
     def close(self) -> None:
         """Let go of everything."""
         self._client.close()
-        self._book.close()
+        self._store.close()
 
     def _handle(self, event: agent.Event) -> None:
         if not self._client.closed:
@@ -108,16 +108,16 @@
                     self._counters.add("configuration changes")
                     self._log.info("configuration in force", version=version, keys=len(change.puts))
                 case agent.Persist(version, change, whole):
-                    self._book.keep(version, change, whole, self._kept)
-                case agent.Say(what, version, key, cause):
+                    self._store.store_change(version, change, whole, self._kept)
+                case agent.WriteLog(what, version, key, cause):
                     self._counters.add(what)
                     self._log.error(what, version=version, key=key, detail=cause)
                 case watcher.StartTimer(delay_ms, event):
                     self._timeline.later(delay_ms, partial(self._handle, event))
 
     def _send(self, send: agent.SendWatch) -> None:
-        def answered(answer: WatchAnswer | None) -> None:
-            self._handle(agent.Answered(send.ask, answer))
+        def answered(answer: WatchResponse | None) -> None:
+            self._handle(agent.WatchAnswered(send.watch_id, answer))
 
         body = msgspec.json.encode(send.watch)
         self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, answered)
--- a/foxlift/rollout/acceptor.py
+++ b/foxlift/rollout/acceptor.py
@@ -30,12 +30,12 @@
 _PREFIX = "config/"
 
 
-def key_of(version: int) -> str:
+def register_key(version: int) -> str:
     """The name of a version's register."""
     return f"{_PREFIX}{version}"
 
 
-def version_of(key: str) -> int | None:
+def register_version(key: str) -> int | None:
     """The version of a register's name; None for any other name."""
     number = key.removeprefix(_PREFIX)
     if number == key or not number.isdigit() or len(number) > MAX_DIGITS or number.startswith("0"):
@@ -60,7 +60,7 @@
 class Store:
     """Write the record to the disk, in the order of these actions, then report Stored."""
 
-    request: int
+    correlation_id: int
     record: OpenVersion
 
 
@@ -68,7 +68,7 @@
 class Reply:
     """Answer the proposer; None: the disk has failed."""
 
-    request: int
+    correlation_id: int
     message: Answer | None
 
 
@@ -77,20 +77,20 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """`head`: the last decided version here. `silent_up_to`: what a lost disk may have held."""
+    """`head`: the last decided version here. `abstain_up_to`: what a lost disk may have held."""
 
     head: int = 0
-    silent_up_to: int = 0
+    abstain_up_to: int = 0
     open: dict[int, OpenVersion] = field(default_factory=dict)
     _waiting: dict[int, Answer] = field(default_factory=dict)
 
     @property
-    def highest(self) -> int:
+    def highest_version(self) -> int:
         """The highest version that this member has taken a value of, or knows to be decided."""
         taken = (record.version for record in self.open.values() if record.taken is not None)
         return max(self.head, max(taken, default=0))
 
-    def decided(self, head: int) -> None:
+    def advance_head(self, head: int) -> None:
         """All versions up to this one are decided and known here."""
         self.head = max(self.head, head)
         for version in [version for version in self.open if version <= self.head]:
@@ -109,7 +109,7 @@
                 return [Reply(request, None)]
 
     def _asked(self, request: int, message: Ask) -> list[Action]:
-        version = version_of(message.key)
+        version = register_version(message.key)
         if version is None or not self._vouches(version):
             return [Reply(request, Reject(message.key, message.ballot))]
         known = self.open.get(version)
@@ -128,6 +128,6 @@
         return [Store(request, record)]
 
     def _vouches(self, version: int) -> bool:
-        if version <= max(self.head, self.silent_up_to) or len(self._waiting) >= MAX_WAITING:
+        if version <= max(self.head, self.abstain_up_to) or len(self._waiting) >= MAX_WAITING:
             return False
         return version in self.open or len(self.open) < MAX_OPEN_VERSIONS
--- a/foxlift/rollout/agent.py
+++ b/foxlift/rollout/agent.py
@@ -22,7 +22,7 @@
 from foxlift.rollout.content import Content, merge
 from foxlift.rollout.entry import Change
 from foxlift.rollout.log import SnapshotPage, Step
-from foxlift.rollout.messages import DirectorWatch, Entries, Page, Refusal, Steps, WatchAnswer
+from foxlift.rollout.messages import DirectorWatch, Entries, Page, Refusal, Steps, WatchResponse
 from foxlift.rollout.watcher import Progress, Watcher
 
 
@@ -39,22 +39,22 @@
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Answered:
+class WatchAnswered:
     """What the source of this ask has answered; None: nothing that can be read."""
 
-    ask: int
-    answer: WatchAnswer | None
+    watch_id: int
+    response: WatchResponse | None
 
 
-Event = Answered | watcher.AskDue | watcher.OverdueDue
+Event = WatchAnswered | watcher.PollDue | watcher.PollTimeoutDue
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Send the watch to a source; its answer comes back as Answered."""
+    """Send the watch to a source; its answer comes back as WatchAnswered."""
 
-    ask: int
+    watch_id: int
     source: str
     watch: DirectorWatch
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the log."""
 
     what: str
@@ -86,7 +86,7 @@
     cause: str = ""
 
 
-Action = SendWatch | Apply | Persist | Say | watcher.StartTimer
+Action = SendWatch | Apply | Persist | WriteLog | watcher.StartTimer
 
 
 @dataclass(slots=True)
@@ -126,17 +126,17 @@
 
     def handle(self, event: Event) -> list[Action]:
         """Take one event in."""
-        if not isinstance(event, Answered):
+        if not isinstance(event, WatchAnswered):
             return self._watch(self._watcher.handle(event))
-        if event.answer is None:
-            return self._watch(self._watcher.handle(watcher.Unanswered(event.ask)))
-        actions, progress = self._take(event.answer)
-        return [*actions, *self._watch(self._watcher.handle(watcher.Answered(event.ask, progress)))]
+        if event.response is None:
+            return self._watch(self._watcher.handle(watcher.PollFailed(event.watch_id)))
+        actions, progress = self._take(event.response)
+        return [*actions, *self._watch(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress)))]
 
     def _watch(self, actions: list[watcher.Action]) -> list[Action]:
         return [
-            SendWatch(action.ask, action.source, self._message())
-            if isinstance(action, watcher.Ask)
+            SendWatch(action.watch_id, action.source, self._message())
+            if isinstance(action, watcher.PollSource)
             else action
             for action in actions
         ]
@@ -155,30 +155,30 @@
         )
 
     # ---- Answers ------------------------------------------------------------------------------------------
-    def _take(self, answer: WatchAnswer) -> tuple[list[Action], Progress]:
+    def _take(self, answer: WatchResponse) -> tuple[list[Action], Progress]:
         match answer:
             case Steps(head, steps):
                 return self._take_steps(head, steps)
             case Page(page):
                 return self._take_page(page)
             case Entries():
-                return [], Progress.BEHIND  # an answer for a relay
+                return [], Progress.UNUSABLE  # an answer for a relay
 
     def _take_steps(self, head: int, steps: tuple[Step, ...]) -> tuple[list[Action], Progress]:
         if not steps:
             is_behind = head < self.version
-            return [], Progress.BEHIND if is_behind else Progress.NOTHING
+            return [], Progress.UNUSABLE if is_behind else Progress.UNCHANGED
         if not _follow(self._rebuild.version if self._rebuild else self.version, steps):
-            return [], Progress.BEHIND
+            return [], Progress.UNUSABLE
         if self._rebuild is not None:
             return self._rebuild_by_steps(self._rebuild, steps)
         whole = merge(step.change for step in steps)
         if self.content.digest_after(whole) != steps[-1].digest:
             self._rebuild = _Rebuild(Content())
-            return [Say("content differs, built again", self.version)], Progress.FORWARD
+            return [WriteLog("content differs, built again", self.version)], Progress.ADVANCED
         if self._check(whole) is None:
-            return self._put_in_force(steps[-1].version, whole), Progress.FORWARD
-        return self._take_until_refused(steps), Progress.FORWARD
+            return self._put_in_force(steps[-1].version, whole), Progress.ADVANCED
+        return self._take_until_refused(steps), Progress.ADVANCED
 
     def _take_until_refused(self, steps: tuple[Step, ...]) -> list[Action]:
         actions: list[Action] = []
@@ -198,10 +198,10 @@
         self.version, self.refused, self._offered = version, None, 0
         return [Apply(version, change), Persist(version, change, whole)]
 
-    def _refuse(self, version: int, offered: int, problem: Problem) -> Say:
+    def _refuse(self, version: int, offered: int, problem: Problem) -> WriteLog:
         self.refused = Refusal(version, problem.key, problem.cause[:500])
         self._offered = offered
-        return Say("change refused", version, problem.key, problem.cause)
+        return WriteLog("change refused", version, problem.key, problem.cause)
 
     # ---- Building the content again -----------------------------------------------------------------------
     def _take_page(self, page: SnapshotPage) -> tuple[list[Action], Progress]:
@@ -211,26 +211,26 @@
             rebuild = self._rebuild = _Rebuild(Content(), snapshot=page.version)
         elif rebuild is None or not begun:
             self._rebuild = _Rebuild(Content())
-            return [], Progress.BEHIND
+            return [], Progress.UNUSABLE
         rebuild.content.apply(Change(page.values))
         rebuild.page += 1
         if not page.last:
-            return [], Progress.FORWARD
+            return [], Progress.ADVANCED
         if rebuild.content.digest != page.digest or page.version < self.version:
             self._rebuild = _Rebuild(Content()) if rebuild.content.digest != page.digest else None
-            return [], Progress.BEHIND
-        return self._rebuilt(rebuild.content, page.version), Progress.FORWARD
+            return [], Progress.UNUSABLE
+        return self._rebuilt(rebuild.content, page.version), Progress.ADVANCED
 
     def _rebuild_by_steps(self, rebuild: _Rebuild, steps: tuple[Step, ...]) -> tuple[list[Action], Progress]:
         for step in steps:
             rebuild.content.apply(step.change)
             if rebuild.content.digest != step.digest:
                 self._rebuild = _Rebuild(Content())
-                return [], Progress.BEHIND
+                return [], Progress.UNUSABLE
             rebuild.version = step.version
         if rebuild.version < self.version:
-            return [], Progress.FORWARD
-        return self._rebuilt(rebuild.content, rebuild.version), Progress.FORWARD
+            return [], Progress.ADVANCED
+        return self._rebuilt(rebuild.content, rebuild.version), Progress.ADVANCED
 
     def _rebuilt(self, content: Content, version: int) -> list[Action]:
         """Put the difference in force, as one change."""
--- a/foxlift/rollout/content.py
+++ b/foxlift/rollout/content.py
@@ -38,14 +38,14 @@
 
     def apply(self, change: Change) -> Change:
         """Take a change in; gives back the change that undoes it."""
-        undo = self.undo_of(change)
+        undo = self.inverse_of(change)
         self._sum = self._sum_after(change)
         self.values.update(change.puts)
         for key in change.removes:
             self.values.pop(key, None)
         return undo
 
-    def undo_of(self, change: Change) -> Change:
+    def inverse_of(self, change: Change) -> Change:
         """What would bring this map back after a change."""
         keys = _keys_of(change)
         puts = {key: self.values[key] for key in keys if key in self.values}
--- a/foxlift/rollout/entry.py
+++ b/foxlift/rollout/entry.py
@@ -47,7 +47,7 @@
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     author: Name
-    request: RequestId
+    request_id: RequestId = msgspec.field(name="request")
     change: Change = Change()
     reverts: Version = 0
     released: Version = 0
@@ -55,7 +55,7 @@
     at: int = 0
     digest: Digest = ""
 
-    def write(self) -> str:
+    def encode(self) -> str:
         """The entry as a register holds it."""
         return msgspec.json.encode(self).decode()
 
@@ -64,7 +64,7 @@
     """A change or an entry that cannot be taken, and why."""
 
 
-def read_entry(text: str) -> Entry:
+def decode_entry(text: str) -> Entry:
     """Raises EntryError for what cannot be read."""
     try:
         return msgspec.json.decode(text, type=Entry)
--- a/foxlift/rollout/follower.py
+++ b/foxlift/rollout/follower.py
@@ -12,32 +12,32 @@
 from foxlift.rollout.content import Content
 from foxlift.rollout.entry import Change, EntryError
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import Entries, Page, RelayWatch, Steps, WatchAnswer
+from foxlift.rollout.messages import Entries, Page, RelayWatch, Steps, WatchResponse
 from foxlift.rollout.watcher import Progress, Watcher
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class WatchAnswered:
     """What the source of this ask has answered; None: nothing that can be read."""
 
-    ask: int
-    answer: WatchAnswer | None
+    watch_id: int
+    response: WatchResponse | None
 
 
-Event = Answered | watcher.AskDue | watcher.OverdueDue
+Event = WatchAnswered | watcher.PollDue | watcher.PollTimeoutDue
 
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Send the watch to a source; its answer comes back as Answered."""
+    """Send the watch to a source; its answer comes back as WatchAnswered."""
 
-    ask: int
+    watch_id: int
     source: str
     watch: RelayWatch
 
 
 @dataclass(frozen=True, slots=True)
-class Grown:
+class LogAdvanced:
     """The log has grown: by entries after `after`, or with `restored` it begins at another snapshot."""
 
     after: int
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Misfit:
+class SourceMismatch:
     """What a source told does not fit the log."""
 
     source: str
     detail: str
 
 
-Action = SendWatch | Grown | Misfit | watcher.StartTimer
+Action = SendWatch | LogAdvanced | SourceMismatch | watcher.StartTimer
 
 
 class Follower:
@@ -70,30 +70,32 @@
 
     def handle(self, event: Event) -> list[Action]:
         """Take one event in."""
-        if not isinstance(event, Answered):
+        if not isinstance(event, WatchAnswered):
             return self._watch(self._watcher.handle(event))
-        if event.answer is None:
-            return self._watch(self._watcher.handle(watcher.Unanswered(event.ask)))
-        actions, progress = self._take(event.answer)
-        return [*actions, *self._watch(self._watcher.handle(watcher.Answered(event.ask, progress)))]
+        if event.response is None:
+            return self._watch(self._watcher.handle(watcher.PollFailed(event.watch_id)))
+        actions, progress = self._take(event.response)
+        return [*actions, *self._watch(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress)))]
 
     def _watch(self, actions: list[watcher.Action]) -> list[Action]:
         message = RelayWatch(self._name, self._run, self._log.head, self._snapshot, self._page)
         return [
-            SendWatch(action.ask, action.source, message) if isinstance(action, watcher.Ask) else action
+            SendWatch(action.watch_id, action.source, message)
+            if isinstance(action, watcher.PollSource)
+            else action
             for action in actions
         ]
 
-    def _take(self, answer: WatchAnswer) -> tuple[list[Action], Progress]:
+    def _take(self, answer: WatchResponse) -> tuple[list[Action], Progress]:
         match answer:
             case Entries(head, entries) if not entries:
-                return [], Progress.BEHIND if head < self._log.head else Progress.NOTHING
+                return [], Progress.UNUSABLE if head < self._log.head else Progress.UNCHANGED
             case Entries(_, entries):
                 return self._take_entries(answer)
             case Page():
                 return self._take_page(answer)
             case Steps():
-                return [], Progress.BEHIND  # an answer for a director
+                return [], Progress.UNUSABLE  # an answer for a director
 
     def _take_entries(self, answer: Entries) -> tuple[list[Action], Progress]:
         before = self._log.head
@@ -101,9 +103,9 @@
             for entry in answer.entries:
                 self._log.append(entry)
         except EntryError as error:
-            grown: list[Action] = [Grown(before)] if self._log.head > before else []
-            return [*grown, Misfit(self._watcher.source, str(error))], Progress.BEHIND
-        return [Grown(before)] if self._log.head > before else [], Progress.FORWARD
+            grown: list[Action] = [LogAdvanced(before)] if self._log.head > before else []
+            return [*grown, SourceMismatch(self._watcher.source, str(error))], Progress.UNUSABLE
+        return [LogAdvanced(before)] if self._log.head > before else [], Progress.ADVANCED
 
     def _take_page(self, answer: Page) -> tuple[list[Action], Progress]:
         page = answer.page
@@ -111,15 +113,17 @@
             self._gathered, self._snapshot, self._page = Content(), page.version, 0
         elif (page.version, page.page) != (self._snapshot, self._page):
             self._snapshot, self._page = 0, 0
-            return [], Progress.BEHIND
+            return [], Progress.UNUSABLE
         self._gathered.apply(Change(page.values))
         self._page += 1
         if not page.last:
-            return [], Progress.FORWARD
+            return [], Progress.ADVANCED
         gathered, self._gathered = self._gathered, Content()
         self._snapshot, self._page = 0, 0
         if gathered.digest != page.digest or page.version <= self._log.head:
-            return [Misfit(self._watcher.source, f"snapshot of version {page.version}")], Progress.BEHIND
+            return [
+                SourceMismatch(self._watcher.source, f"snapshot of version {page.version}")
+            ], Progress.UNUSABLE
         before = self._log.head
         self._log.restore(page.version, gathered.values, answer.requests)
-        return [Grown(before, restored=True)], Progress.FORWARD
+        return [LogAdvanced(before, restored=True)], Progress.ADVANCED
--- a/foxlift/rollout/group.py
+++ b/foxlift/rollout/group.py
@@ -13,31 +13,35 @@
 from foxlift.rollout import acceptor
 from foxlift.rollout.acceptor import Acceptor
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import Heartbeat, Order, OrderAnswer, Outcome, Report
-from foxlift.rollout.proposer import Done, Learned, Proposal, Proposer
-from foxlift.rollout.release import Release, ReleaseJudge, Revert
+from foxlift.rollout.messages import ChangeRequest, ChangeResponse, Heartbeat, Outcome, Report
+from foxlift.rollout.proposer import EntryDecided, Proposal, ProposalFinished, Proposer
+from foxlift.rollout.release import Release, ReleasePolicy, Revert
 
 ALIVE_MS = 2000.0  # a member that was heard so long ago does not lead
 ORPHAN_MS = 1000.0  # a value that was taken, and not known to be decided for so long, is finished
 INTERNAL = "_"  # how requests of the group's own begin
 
-Action = Done | Learned | acceptor.Store | acceptor.Reply | registers.Send | registers.StartTimer
+Action = (
+    ProposalFinished | EntryDecided | acceptor.Store | acceptor.Reply | registers.Send | registers.StartTimer
+)
 
 
 class GroupMember:
     """One member. `trusted` says whether its disk is the one that it had before."""
 
-    def __init__(self, name: str, run: int, members: tuple[str, ...], log: ConfigLog, seed: int) -> None:
+    def __init__(
+        self, name: str, boot_epoch: int, members: tuple[str, ...], log: ConfigLog, seed: int
+    ) -> None:
         self.name, self._members, self._log = name, members, log
         self.acceptor = Acceptor(log.head)
-        self.judge = ReleaseJudge()
-        self._proposer = Proposer(name, run, members, log, seed)
+        self.release_policy = ReleasePolicy()
+        self._proposer = Proposer(name, boot_epoch, members, log, seed)
         self._heard: dict[str, float] = {}
         self._heads: dict[str, int] = {}
         self._orphan: tuple[int, float] = (0, 0.0)  # a version with a value taken, and since when
 
     # ---- Who is there -------------------------------------------------------------------------------------
-    def leads(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether no member before this one was heard lately."""
         for member in self._members:
             if member == self.name:
@@ -46,57 +50,57 @@
                 return False
         return False
 
-    def alive(self, now: float) -> list[str]:
+    def alive_members(self, now: float) -> list[str]:
         """Members that were heard lately, this one among them."""
         return [m for m in self._members if m == self.name or now - self._heard.get(m, -math.inf) < ALIVE_MS]
 
-    def heartbeat(self, now: float, beat: Heartbeat) -> None:
+    def handle_heartbeat(self, now: float, beat: Heartbeat) -> None:
         """Another member is alive."""
         if beat.sender in self._members and beat.sender != self.name:
             self._heard[beat.sender] = now
             self._heads[beat.sender] = beat.head
 
-    def reported(self, now: float, report: Report) -> None:
+    def handle_report(self, now: float, report: Report) -> None:
         """A relay reports."""
-        self.judge.heard(now, report)
+        self.release_policy.record_report(now, report)
 
     # ---- Orders -------------------------------------------------------------------------------------------
-    def order(self, now: float, number: int, order: Order) -> list[Action]:
-        """An operator's order; Done tells what became of it."""
-        if order.request.startswith(INTERNAL):
-            return [_refused(number, f"request: must not begin with {INTERNAL}")]
-        if order.withdraw and not order.change.is_empty:
-            return [_refused(number, "an order either changes or withdraws")]
-        proposal = Proposal(number, order.request, order.change, withdraw=order.withdraw)
+    def request_change(self, now: float, correlation_id: int, request: ChangeRequest) -> list[Action]:
+        """An operator's order; ProposalFinished tells what became of it."""
+        if request.request_id.startswith(INTERNAL):
+            return [_refused(correlation_id, f"request: must not begin with {INTERNAL}")]
+        if request.withdraw and not request.change.is_empty:
+            return [_refused(correlation_id, "an order either changes or withdraws")]
+        proposal = Proposal(correlation_id, request.request_id, request.change, withdraw=request.withdraw)
         return list(self._proposer.propose(now, proposal))
 
-    def register_event(self, now: float, event: registers.ChangeProgress) -> list[Action]:
+    def handle_register_event(self, now: float, event: registers.ChangeProgress) -> list[Action]:
         """Something came of a register that this member changes."""
         return list(self._proposer.handle(now, event))
 
-    def accept(self, event: acceptor.Event) -> list[Action]:
+    def handle_acceptor_event(self, event: acceptor.Event) -> list[Action]:
         """Another proposer's message, or word of the disk."""
         return list(self.acceptor.handle(event))
 
-    def log_grown(self, now: float) -> list[Action]:
+    def handle_log_advanced(self, now: float) -> list[Action]:
         """The log has grown."""
-        self.acceptor.decided(self._log.head)
+        self.acceptor.advance_head(self._log.head)
         return list(self._proposer.advance(now))
 
     # ---- Time ---------------------------------------------------------------------------------------------
     def tick(self, now: float) -> list[Action]:
         """Time has passed."""
         actions: list[Action] = [*self._proposer.advance(now), *self._repair(now)]
-        if not self.leads(now):
+        if not self.is_leader(now):
             return actions
-        match self.judge.decide(now, self._log):
+        match self.release_policy.decide(now, self._log):
             case Release(version):
                 proposal = Proposal(0, f"{INTERNAL}release.{version}", release=version)
             case Revert(version, reason):
                 proposal = Proposal(0, f"{INTERNAL}revert.{version}", withdraw=version, reason=reason)
             case None:
                 return actions
-        if self._proposer.has(proposal.request):
+        if self._proposer.is_pending(proposal.request_id):
             return actions
         return [*actions, *self._proposer.propose(now, proposal, first=True)]
 
@@ -116,5 +120,5 @@
         return []
 
 
-def _refused(number: int, reason: str) -> Done:
-    return Done(number, OrderAnswer(Outcome.REFUSED, reason=reason))
+def _refused(correlation_id: int, reason: str) -> ProposalFinished:
+    return ProposalFinished(correlation_id, ChangeResponse(Outcome.REFUSED, reason=reason))
--- a/foxlift/rollout/hub.py
+++ b/foxlift/rollout/hub.py
@@ -1,10 +1,10 @@
 """The source's side of the watch: answers followers as soon as there is something for them. No I/O.
 
     watch    event                                       next     what is done
-    (none)   Watched, there is a later version for it    (none)   Reply with the way there
-    (none)   Watched, there is none                      HELD     nothing
+    (none)   WatchReceived, there is a later version for it    (none)   Reply with the way there
+    (none)   WatchReceived, there is none                      HELD     nothing
     HELD     log_changed, there is one now               (none)   Reply with the way there
-    HELD     Tick, held for HOLD_MS                      (none)   Reply that there is nothing new
+    HELD     Tick, held for MAX_HOLD_MS                      (none)   Reply that there is nothing new
     HELD     Gone                                        (none)   nothing
 
 A canary is led to the latest change, any other director to the latest that is released. A director that has
@@ -24,10 +24,10 @@
     RelayWatch,
     Steps,
     Watch,
-    WatchAnswer,
+    WatchResponse,
 )
 from foxlift.rollout.roster import Roster
-from foxlift.rollout.watcher import HOLD_MS
+from foxlift.rollout.watcher import MAX_HOLD_MS
 
 MAX_HELD = 8192
 MAX_ENTRIES_CHARS = 200_000  # in one answer, but at least one entry or step
@@ -36,18 +36,18 @@
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """A follower's watch; `number` is the caller's, for the answer."""
+class WatchReceived:
+    """A follower's watch; `correlation_id` is the caller's, for the answer."""
 
-    number: int
+    correlation_id: int
     watch: Watch
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class Disconnected:
     """The follower has left before its answer."""
 
-    number: int
+    correlation_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     """The log has grown."""
 
 
-Event = Watched | Gone | Tick | LogChanged
+Event = WatchReceived | Disconnected | Tick | LogChanged
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
@@ -68,8 +68,8 @@
 class Reply:
     """Answer a watch; None: too many are held."""
 
-    number: int
-    answer: WatchAnswer | None
+    correlation_id: int
+    response: WatchResponse | None
 
 
 @dataclass(slots=True)
@@ -93,58 +93,58 @@
     def handle(self, now: float, event: Event) -> list[Reply]:
         """Take one event in; `now` in ms on a clock that never steps back."""
         match event:
-            case Watched(number, watch):
-                return self._watched(now, number, watch)
-            case Gone(number):
-                self._held.pop(number, None)
+            case WatchReceived(correlation_id, watch):
+                return self._watched(now, correlation_id, watch)
+            case Disconnected(correlation_id):
+                self._held.pop(correlation_id, None)
                 return []
             case LogChanged():
                 self._ways.clear()
                 return self._answer_held(now)
             case Tick():
-                self.roster.forget_silent(now)
+                self.roster.remove_silent(now)
                 return self._end_holds(now)
 
-    def _watched(self, now: float, number: int, watch: Watch) -> list[Reply]:
+    def _watched(self, now: float, correlation_id: int, watch: Watch) -> list[Reply]:
         if isinstance(watch, DirectorWatch):
-            if not self.roster.admits(watch.sender):
-                return [Reply(number, None)]
-            self.roster.heard(now, watch)
+            if not self.roster.has_room_for(watch.sender):
+                return [Reply(correlation_id, None)]
+            self.roster.record_watch(now, watch)
         answer = self._answer(now, watch)
         if answer is not None:
-            return [Reply(number, answer)]
+            return [Reply(correlation_id, answer)]
         if len(self._held) >= MAX_HELD:
-            return [Reply(number, None)]
-        self._held[number] = _Held(watch, now + HOLD_MS)
+            return [Reply(correlation_id, None)]
+        self._held[correlation_id] = _Held(watch, now + MAX_HOLD_MS)
         return []
 
     def _answer_held(self, now: float) -> list[Reply]:
         replies: list[Reply] = []
-        for number, held in list(self._held.items()):
+        for correlation_id, held in list(self._held.items()):
             answer = self._answer(now, held.watch)
             if answer is not None:
-                del self._held[number]
-                replies.append(Reply(number, answer))
+                del self._held[correlation_id]
+                replies.append(Reply(correlation_id, answer))
         return replies
 
     def _end_holds(self, now: float) -> list[Reply]:
         replies: list[Reply] = []
-        for number, held in list(self._held.items()):
+        for correlation_id, held in list(self._held.items()):
             if held.until > now:
                 break
-            del self._held[number]
-            replies.append(Reply(number, self._nothing_new(held.watch)))
+            del self._held[correlation_id]
+            replies.append(Reply(correlation_id, self._nothing_new(held.watch)))
         return replies
 
-    def _nothing_new(self, watch: Watch) -> WatchAnswer:
+    def _nothing_new(self, watch: Watch) -> WatchResponse:
         return Entries(self._log.head) if isinstance(watch, RelayWatch) else Steps(self._log.head)
 
-    def _answer(self, now: float, watch: Watch) -> WatchAnswer | None:
+    def _answer(self, now: float, watch: Watch) -> WatchResponse | None:
         if isinstance(watch, RelayWatch):
             return self._answer_relay(watch)
         return self._answer_director(now, watch)
 
-    def _answer_relay(self, watch: RelayWatch) -> WatchAnswer | None:
+    def _answer_relay(self, watch: RelayWatch) -> WatchResponse | None:
         if watch.head >= self._log.head:
             return None
         if watch.head < self._log.base:
@@ -153,12 +153,12 @@
         size = 0
         for entry in self._log.between(watch.head, self._log.head):
             entries.append(entry)
-            size += len(entry.write())
+            size += len(entry.encode())
             if size >= MAX_ENTRIES_CHARS:
                 break
         return Entries(self._log.head, tuple(entries))
 
-    def _answer_director(self, now: float, watch: DirectorWatch) -> WatchAnswer | None:
+    def _answer_director(self, now: float, watch: DirectorWatch) -> WatchResponse | None:
         log, is_canary = self._log, self.roster.is_canary(watch.sender)
         target = log.last_change(log.head if is_canary else log.released)
         start = watch.version if watch.start is None else watch.start
@@ -168,7 +168,7 @@
             return self._page(watch.snapshot, watch.page, with_requests=False)
         way = self._way(start, target)
         if way.steps:
-            self.roster.offered(now, watch.sender, way.steps[-1].version)
+            self.roster.record_offer(now, watch.sender, way.steps[-1].version)
         return way
 
     def _way(self, after: int, target: int) -> Steps:
@@ -183,7 +183,7 @@
             way = self._ways[after, target] = Steps(self._log.head, tuple(steps))
         return way
 
-    def _page(self, version: int, page: int, *, with_requests: bool) -> WatchAnswer:
+    def _page(self, version: int, page: int, *, with_requests: bool) -> WatchResponse:
         pages = self._log.snapshot(version)
         if pages[0].version != version or page >= len(pages):
             page = 0  # another snapshot than the one that was begun: from its beginning
--- a/foxlift/rollout/kinds.py
+++ b/foxlift/rollout/kinds.py
@@ -47,7 +47,7 @@
         raise EntryError(f"{key}: {error}") from error
 
 
-def check_forms(change: Change) -> None:
+def check_values(change: Change) -> None:
     """Raises EntryError for a key of an unknown kind, or a value that has not its kind's form."""
     for key in (*change.puts, *change.removes):
         if kind_of(key) not in FORMS:
--- a/foxlift/rollout/log.py
+++ b/foxlift/rollout/log.py
@@ -16,9 +16,9 @@
 from foxlift.rollout.content import Content, merge
 from foxlift.rollout.entry import Change, Digest, Entry, EntryError, Key, Value, Version
 
-KEPT_ENTRIES = 16_384  # some hours of changes: a region that was cut off for one comes back by entries
+MAX_ENTRIES = 16_384  # some hours of changes: a region that was cut off for one comes back by entries
 MAX_REQUESTS = 16_384  # orders whose repetition is recognised, the latest
-SINGLE_STEPS = 32  # so many versions are told one by one, so that a refusal names one of them
+MAX_SINGLE_STEPS = 32  # so many versions are told one by one, so that a refusal names one of them
 PAGE_CHARS = 48_000  # of keys and values in one page of a snapshot, or of a merged step
 
 
@@ -52,10 +52,10 @@
 class ConfigLog:
     """Entries of versions above `base`; contents at `base` (`floor`), `released` (`fleet`) and `head`."""
 
-    def __init__(self, kept: int = KEPT_ENTRIES) -> None:
-        self._kept = kept
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        self._max_entries = max_entries
         self.base = self.head = self.released = 0
-        self.content, self.fleet, self.floor = Content(), Content(), Content()
+        self.content, self.released_content, self.base_content = Content(), Content(), Content()
         self.entries: deque[Entry] = deque()
         self.requests: dict[str, int] = {}  # orders that were carried out, with their version
         self._undo: dict[int, Change] = {}  # by version, of those kept
@@ -77,7 +77,7 @@
         self.head = entry.version
         if entry.reverts:
             self._reverts.append(Revert(entry.reverts, entry.version))
-        self._remember(entry.request, entry.version)
+        self._record_request(entry.request_id, entry.version)
         self._release(entry.released)
         self._compact()
         return True
@@ -85,14 +85,18 @@
     def restore(self, version: int, values: Mapping[str, str], requests: Mapping[str, int]) -> None:
         """Begin at a snapshot: the content of a released version."""
         self.base = self.head = self.released = version
-        self.content, self.fleet, self.floor = Content(values), Content(values), Content(values)
+        self.content, self.released_content, self.base_content = (
+            Content(values),
+            Content(values),
+            Content(values),
+        )
         self.entries.clear()
         self._undo.clear()
         self._reverts.clear()
         self._snapshot = ()
         self.requests = dict(requests)
 
-    def _remember(self, request: str, version: int) -> None:
+    def _record_request(self, request: str, version: int) -> None:
         self.requests[request] = version
         while len(self.requests) > MAX_REQUESTS:
             del self.requests[next(iter(self.requests))]
@@ -101,14 +105,14 @@
         if released <= self.released:
             return
         for entry in self.between(self.released, released):
-            self.fleet.apply(entry.change)
+            self.released_content.apply(entry.change)
         self.released = released
 
     def _compact(self) -> None:
-        while len(self.entries) > self._kept and self.base < self.released:
+        while len(self.entries) > self._max_entries and self.base < self.released:
             entry = self.entries.popleft()
             self.base = entry.version
-            self.floor.apply(entry.change)
+            self.base_content.apply(entry.change)
             self._undo.pop(entry.version, None)
         if self._reverts and self._reverts[0].by <= self.base:
             self._reverts = [revert for revert in self._reverts if revert.by > self.base]
@@ -136,7 +140,7 @@
                 return number
         return min(self.base, up_to)
 
-    def writer_of(self, key: str, up_to: int) -> int:
+    def last_writer(self, key: str, up_to: int) -> int:
         """The version whose word on a key held at another version; 0 where it is none that is kept.
 
         What was reverted does not count, nor does its revert: that gives back the word of an earlier one.
@@ -155,7 +159,7 @@
         """Whether a version that is kept has been taken back."""
         return any(revert.version == version for revert in self._reverts)
 
-    def is_whole(self, version: int) -> bool:
+    def has_no_reverted_change(self, version: int) -> bool:
         """Whether the content at a version holds nothing that a later version has taken back."""
         return not any(revert.version <= version < revert.by for revert in self._reverts)
 
@@ -176,7 +180,7 @@
         puts: dict[str, str] = {}
         removes: list[str] = []
         for key in (*entry.change.puts, *entry.change.removes):
-            if self.writer_of(key, self.head) != version:
+            if self.last_writer(key, self.head) != version:
                 continue
             value = self._value_before(version, key)
             if value is None:
@@ -215,7 +219,7 @@
             group.append(entry)
             size += _size(entry.change)
             is_last = place == len(entries)
-            is_single = len(entries) - place < SINGLE_STEPS
+            is_single = len(entries) - place < MAX_SINGLE_STEPS
             between = any(revert.version <= entry.version < revert.by for revert in unwhole)
             if is_last or (not between and (is_single or size >= PAGE_CHARS)):
                 steps.append(_merged(after, group))
@@ -226,7 +230,7 @@
         """The pages of a snapshot: the one of `version` if that is still at hand, else a usable one."""
         at_hand = self._snapshot[0].version if self._snapshot else -1
         if at_hand != version and (at_hand < self.base or at_hand < 0):
-            self._snapshot = _pages(self.released, self.fleet)
+            self._snapshot = _pages(self.released, self.released_content)
         return self._snapshot
 
 
--- a/foxlift/rollout/messages.py
+++ b/foxlift/rollout/messages.py
@@ -13,11 +13,11 @@
 
 WATCH_PATH = "/config/watch"  # of a control server, for POST
 
-MAX_ANSWER_BYTES = 2 << 20  # of an answer to a watch: a page, or as many entries or steps as one may hold
+MAX_RESPONSE_BYTES = 2 << 20  # of an answer to a watch: a page, or as many entries or steps as one may hold
 MAX_REFUSALS = 16  # that one report tells of
 MAX_CANARIES = 64  # of one relay
 
-Epoch = Annotated[int, Meta(ge=0, lt=2**53)]
+BootEpoch = Annotated[int, Meta(ge=0, lt=2**53)]
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
 
 
@@ -38,7 +38,7 @@
     """
 
     sender: Name
-    run: Epoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     version: Version
     refused: Refusal | None = None
     offered: Version = 0
@@ -51,7 +51,7 @@
     """A relay, or another member of the group, has the log up to this version, and waits for more."""
 
     sender: Name
-    run: Epoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     head: Version
     snapshot: Version = 0
     page: Count = 0
@@ -84,7 +84,7 @@
     requests: dict[RequestId, Version] = {}
 
 
-WatchAnswer = Steps | Entries | Page
+WatchResponse = Steps | Entries | Page
 
 
 class CanaryState(msgspec.Struct, frozen=True, array_like=True):
@@ -101,7 +101,7 @@
     """
 
     sender: Name
-    run: Epoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     zone: Name
     head: Version
     directors: Count = 0
@@ -115,14 +115,14 @@
     """A member of the group is alive and has the log up to this version."""
 
     sender: Name
-    run: Epoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     head: Version
 
 
-class Order(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class ChangeRequest(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """An operator's order: a change, or with `withdraw` that a version be taken back."""
 
-    request: RequestId
+    request_id: RequestId = msgspec.field(name="request")
     change: Change = Change()
     withdraw: Version = 0
 
@@ -135,7 +135,7 @@
     UNKNOWN = "unknown"  # no quorum in time: it may still come into force; the same request may be sent again
 
 
-class OrderAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
+class ChangeResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """`version`: what carries the order out."""
 
     outcome: Outcome
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -1,16 +1,17 @@
-"""Putting entries into the log: one at a time, each at the version after the last known one. No I/O.
-
-    proposal   event                                          next       what is done
-    (none)     propose, its request was carried out before    (none)     Done: committed, at that version
-    (none)     propose                                        QUEUED     nothing
-    QUEUED     none is out                                    OUT        the register of the next version
-    OUT        decided: this proposal                         (none)     Learned, Done: committed
-    OUT        decided: another entry                         QUEUED     Learned, then the version after it
-    OUT        unreached                                      QUEUED     a while drawn from the seed
-    any        its time is up                                 (none)     Done: unknown, it may yet be decided
-    QUEUED     it cannot be an entry (any more)               (none)     Done: refused, and why
-
-Two proposers at one version: the register (`foxlift.accord`) lets one entry through, and tells both which.
+"""Puts entries into the log: one at a time, each at the version after the last known one. No I/O.
+
+    proposal   event                                      next       what is done
+    (none)     propose, its request is committed already  (none)     ProposalFinished: committed, its version
+    (none)     propose                                    QUEUED     nothing
+    QUEUED     no proposal is in flight                   IN_FLIGHT  proposes it for the next version
+    QUEUED     no longer a valid entry                    (none)     ProposalFinished: refused, with reason
+    IN_FLIGHT  decided: this proposal                     (none)     EntryDecided, ProposalFinished: committed
+    IN_FLIGHT  decided: another entry                     QUEUED     EntryDecided, then tries the next version
+    IN_FLIGHT  no quorum                                  QUEUED     retries after a random delay
+    QUEUED     PROPOSAL_TIMEOUT_MS has passed             (none)     ProposalFinished: unknown
+
+After "unknown" the entry may still be decided. If two members propose entries for the same version, its
+register (`foxlift.accord`) accepts one of them and both proposers learn which.
 """
 
 from __future__ import annotations
@@ -21,24 +22,24 @@
 from dataclasses import dataclass, field
 
 from foxlift.accord import register as registers
-from foxlift.rollout.acceptor import key_of
-from foxlift.rollout.entry import Change, Entry, EntryError, check_change, read_entry
+from foxlift.rollout.acceptor import register_key
+from foxlift.rollout.entry import Change, Entry, EntryError, check_change, decode_entry
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import OrderAnswer, Outcome
+from foxlift.rollout.messages import ChangeResponse, Outcome
 
 MAX_QUEUED = 256
 PROPOSAL_MS = 5000.0  # after that its author is told that nothing is known
 CHANGE_MS = 1500.0  # for one round at a register
-RETRY_MS = 100.0  # after a round without a quorum; doubles
+MIN_RETRY_MS = 100.0  # after a round without a quorum; doubles
 MAX_RETRY_MS = 800.0
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """What an entry is to say. `number`: the caller's, 0 where nobody waits for the outcome."""
+    """What an entry is to say. `correlation_id`: the caller's, 0 where nobody waits for the outcome."""
 
-    number: int
-    request: str
+    correlation_id: int
+    request_id: str
     change: Change = field(default_factory=Change)
     withdraw: int = 0
     release: int = 0
@@ -47,21 +48,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class EntryDecided:
     """This entry is decided."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class ProposalFinished:
     """What became of a proposal."""
 
-    number: int
-    answer: OrderAnswer
+    correlation_id: int
+    response: ChangeResponse
 
 
-Action = Learned | Done | registers.Send | registers.StartTimer
+Action = EntryDecided | ProposalFinished | registers.Send | registers.StartTimer
 
 
 @dataclass(slots=True)
@@ -71,16 +72,18 @@
 
 
 class Proposer:
-    """One group member's. The caller appends what is Learned to the log before it handles anything else."""
+    """One group member's. The caller appends each EntryDecided to the log before it handles anything else."""
 
-    def __init__(self, name: str, run: int, members: tuple[str, ...], log: ConfigLog, seed: int) -> None:
+    def __init__(
+        self, name: str, boot_epoch: int, members: tuple[str, ...], log: ConfigLog, seed: int
+    ) -> None:
         self._name, self._members, self._log = name, members, log
-        self._registers = registers.Registers(f"{name}.{run}.config", seed)
+        self._registers = registers.Registers(f"{name}.{boot_epoch}.config", seed)
         self._random = random.Random(f"{seed} proposer {name}")
         self._queue: deque[_Queued] = deque()
         self._out: _Queued | None = None
         self._not_before = -math.inf
-        self._wait_ms = RETRY_MS
+        self._wait_ms = MIN_RETRY_MS
         self._last_change = 0
 
     @property
@@ -88,18 +91,22 @@
         """Whether nothing is proposed or waits to be."""
         return self._out is None and not self._queue
 
-    def has(self, request: str) -> bool:
+    def is_pending(self, request: str) -> bool:
         """Whether this request waits for its entry."""
-        queued = any(each.proposal.request == request for each in self._queue)
-        return queued or (self._out is not None and self._out.proposal.request == request)
+        queued = any(each.proposal.request_id == request for each in self._queue)
+        return queued or (self._out is not None and self._out.proposal.request_id == request)
 
     def propose(self, now: float, proposal: Proposal, *, first: bool = False) -> list[Action]:
         """Put an entry into the log; `first`: before all that wait."""
-        known = self._log.requests.get(proposal.request)
+        known = self._log.requests.get(proposal.request_id)
         if known is not None:
-            return [Done(proposal.number, OrderAnswer(Outcome.COMMITTED, known))]
+            return [ProposalFinished(proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, known))]
         if len(self._queue) >= MAX_QUEUED:
-            return [Done(proposal.number, OrderAnswer(Outcome.REFUSED, reason="too many orders wait"))]
+            return [
+                ProposalFinished(
+                    proposal.correlation_id, ChangeResponse(Outcome.REFUSED, reason="too many orders wait")
+                )
+            ]
         queued = _Queued(proposal, now + PROPOSAL_MS)
         if first:
             self._queue.appendleft(queued)
@@ -119,10 +126,10 @@
         if self._out is not None or not self._queue or now < self._not_before:
             return actions
         queued = self._queue.popleft()
-        known = self._log.requests.get(queued.proposal.request)
+        known = self._log.requests.get(queued.proposal.request_id)
         if known is not None:
-            answer = OrderAnswer(Outcome.COMMITTED, known)
-            return [*actions, Done(queued.proposal.number, answer), *self.advance(now)]
+            answer = ChangeResponse(Outcome.COMMITTED, known)
+            return [*actions, ProposalFinished(queued.proposal.correlation_id, answer), *self.advance(now)]
         try:
             entry = self._entry(now, queued.proposal)
         except EntryError as error:
@@ -130,7 +137,7 @@
             return [*actions, refused, *self.advance(now)]
         self._out = queued
         self._last_change += 1
-        key, value = key_of(entry.version), entry.write()
+        key, value = register_key(entry.version), entry.encode()
         change = registers.Change(self._last_change, key, self._members, value, 0, CHANGE_MS)
         return [*actions, *self._came(now, self._registers.handle(now, change))]
 
@@ -145,7 +152,7 @@
         return Entry(
             log.head + 1,
             self._name,
-            proposal.request,
+            proposal.request_id,
             change,
             reverts=proposal.withdraw,
             released=proposal.release,
@@ -159,7 +166,7 @@
         for action in actions:
             match action:
                 case registers.Decided(_, value):
-                    out += self._decided(read_entry(value))
+                    out += self._decided(decode_entry(value))
                 case registers.Unreached():
                     out += self._unreached(now)
                 case _:
@@ -168,12 +175,17 @@
 
     def _decided(self, entry: Entry) -> list[Action]:
         queued, self._out = self._out, None
-        self._wait_ms, self._not_before = RETRY_MS, -math.inf
-        learned = Learned(entry)
+        self._wait_ms, self._not_before = MIN_RETRY_MS, -math.inf
+        learned = EntryDecided(entry)
         if queued is None:
             return [learned]
-        if entry.request == queued.proposal.request:
-            return [learned, Done(queued.proposal.number, OrderAnswer(Outcome.COMMITTED, entry.version))]
+        if entry.request_id == queued.proposal.request_id:
+            return [
+                learned,
+                ProposalFinished(
+                    queued.proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, entry.version)
+                ),
+            ]
         if not queued.proposal.repair:
             self._queue.appendleft(queued)
         return [learned]
@@ -187,5 +199,5 @@
         return []
 
     @staticmethod
-    def _done(proposal: Proposal, outcome: Outcome, reason: str) -> Done:
-        return Done(proposal.number, OrderAnswer(outcome, reason=reason))
+    def _done(proposal: Proposal, outcome: Outcome, reason: str) -> ProposalFinished:
+        return ProposalFinished(proposal.correlation_id, ChangeResponse(outcome, reason=reason))
--- a/foxlift/rollout/release.py
+++ b/foxlift/rollout/release.py
@@ -53,29 +53,29 @@
 
 
 @dataclass(slots=True)
-class ReleaseJudge:
+class ReleasePolicy:
     """One group member's judgement. Times are ms on a clock that never steps back."""
 
     _reports: dict[str, tuple[Report, float]] = field(default_factory=dict)  # by relay
     _reached: deque[Reach] = field(default_factory=deque)
 
-    def heard(self, now: float, report: Report) -> None:
+    def record_report(self, now: float, report: Report) -> None:
         """A relay reports."""
         known = self._reports.get(report.sender)
-        if known is not None and known[0].run > report.run:
+        if known is not None and known[0].boot_epoch > report.boot_epoch:
             return  # of a process that is over
         if known is None and len(self._reports) >= MAX_REPORTS:
             return
         self._reports[report.sender] = report, now
 
-    def fresh(self, now: float) -> list[Report]:
+    def recent_reports(self, now: float) -> list[Report]:
         """The latest report of each relay that was heard lately."""
         self._reports = {name: kept for name, kept in self._reports.items() if now - kept[1] <= FRESH_MS}
         return [report for report, _ in self._reports.values()]
 
     def decide(self, now: float, log: ConfigLog) -> Decision | None:
         """What the next entry should say, if anything."""
-        reports = self.fresh(now)
+        reports = self.recent_reports(now)
         refused = self._refused(reports, log)
         if refused is not None:
             return refused
@@ -94,7 +94,7 @@
         for report in reports:
             for name, refusal in report.refusals:
                 if name in canaries:
-                    version = log.writer_of(refusal.key, refusal.version)
+                    version = log.last_writer(refusal.key, refusal.version)
                     by.setdefault(version, []).append((name, refusal.key, refusal.cause))
         for version, refusals in sorted(by.items()):
             is_enough = version > log.released or 2 * len(refusals) > len(canaries)
@@ -130,7 +130,7 @@
         while self._reached and now - self._reached[0].at >= SOAK_MS:
             ready = self._reached.popleft().version
         # where it was taken back, canaries are on their way to the version that did so
-        if log.last_change(ready) <= log.released or not log.is_whole(ready):
+        if log.last_change(ready) <= log.released or not log.has_no_reverted_change(ready):
             return None
         return Release(ready)
 
--- a/foxlift/rollout/roster.py
+++ b/foxlift/rollout/roster.py
@@ -18,10 +18,10 @@
     Refusal,
     Report,
 )
-from foxlift.rollout.watcher import HOLD_MS
+from foxlift.rollout.watcher import MAX_HOLD_MS
 
 CANARY_RATIO = 0.02  # of a relay's directors
-LIVE_MS = HOLD_MS + 4000.0  # a director asks again at least each HOLD_MS
+LIVE_MS = MAX_HOLD_MS + 4000.0  # a director asks again at least each MAX_HOLD_MS
 CONFIRM_MS = 3000.0  # a canary that was offered a change and not heard of for so long has not confirmed it
 MAX_DIRECTORS = 4096  # of one relay
 
@@ -45,11 +45,11 @@
     def __len__(self) -> int:
         return len(self._directors)
 
-    def admits(self, name: str) -> bool:
+    def has_room_for(self, name: str) -> bool:
         """Whether there is room for a director."""
         return name in self._directors or len(self._directors) < MAX_DIRECTORS
 
-    def heard(self, now: float, watch: DirectorWatch) -> None:
+    def record_watch(self, now: float, watch: DirectorWatch) -> None:
         """A director has this version in force."""
         known = self._directors.get(watch.sender)
         if known is None:
@@ -60,7 +60,7 @@
         if watch.refused is not None or watch.version >= known.offered:
             known.offered_at = math.inf
 
-    def offered(self, now: float, name: str, version: int) -> None:
+    def record_offer(self, now: float, name: str, version: int) -> None:
         """A director was told of the way to a version."""
         known = self._directors.get(name)
         if known is not None:
@@ -70,7 +70,7 @@
         """Whether a director is offered changes first."""
         return name in self._canaries
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Drop the directors that were not heard of for too long."""
         silent = [name for name, known in self._directors.items() if now - known.heard_at > LIVE_MS]
         for name in silent:
@@ -83,7 +83,7 @@
         chosen = sorted(self._directors, key=lambda name: rank("canary", name), reverse=True)[:count]
         self._canaries = frozenset(chosen)
 
-    def report(self, now: float, sender: str, run: int, zone: str, head: int) -> Report:
+    def report(self, now: float, sender: str, boot_epoch: int, zone: str, head: int) -> Report:
         """What the group is told."""
         confirmed: list[CanaryState] = []
         unconfirmed: list[CanaryState] = []
@@ -96,7 +96,7 @@
         refusals = [(n, known.refused) for n, known in self._directors.items() if known.refused is not None]
         return Report(
             sender,
-            run,
+            boot_epoch,
             zone,
             head,
             directors=len(self._directors),
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -20,16 +20,16 @@
 from foxlift.rollout.group import GroupMember
 from foxlift.rollout.log import ConfigLog
 from foxlift.rollout.messages import (
+    ChangeRequest,
+    ChangeResponse,
     Heartbeat,
-    Order,
-    OrderAnswer,
     Outcome,
     RelayWatch,
     Report,
     Watch,
-    WatchAnswer,
+    WatchResponse,
 )
-from foxlift.rollout.proposer import Done, Learned
+from foxlift.rollout.proposer import EntryDecided, ProposalFinished
 
 TICK_MS = 100.0
 HEARTBEAT_MS = 500.0
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ServerIdentity:
     """Who a control server is. `members`: of the group, in the order in which they lead."""
 
     name: str
-    run: int
+    boot_epoch: int
     zone: str
     members: tuple[str, ...]
     seed: int
@@ -54,53 +54,53 @@
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """A follower's watch; `number` is the caller's, for the answer."""
+class WatchReceived:
+    """A follower's watch; `correlation_id` is the caller's, for the answer."""
 
-    number: int
+    correlation_id: int
     watch: Watch
 
 
 @dataclass(frozen=True, slots=True)
-class FollowerGone:
+class FollowerDisconnected:
     """The follower has left before its answer."""
 
-    number: int
+    correlation_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
-    """An operator's order; `number` is the caller's, for the answer."""
+class ChangeRequested:
+    """An operator's order; `correlation_id` is the caller's, for the answer."""
 
-    number: int
-    order: Order
+    correlation_id: int
+    request: ChangeRequest
 
 
 @dataclass(frozen=True, slots=True)
-class RegisterAsked:
+class RegisterRequested:
     """Another member's message to this one's acceptor."""
 
-    number: int
-    ask: RegisterAsk
+    correlation_id: int
+    message: RegisterAsk
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The disk has what KeepOpen asked for; `ok`: False where it failed."""
+    """The disk has what StoreOpenVersion asked for; `ok`: False where it failed."""
 
-    number: int
+    correlation_id: int
     ok: bool
 
 
 @dataclass(frozen=True, slots=True)
-class OfRegister:
+class RegisterEvent:
     """Something came of a register that this member changes."""
 
     event: registers.ChangeProgress
 
 
 @dataclass(frozen=True, slots=True)
-class OfFollower:
+class FollowerEvent:
     """Something came of this server's own watch of another; `source`: a member, "" for a relay's one."""
 
     source: str
@@ -108,14 +108,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message that needs no answer."""
 
     message: Heartbeat | Report
 
 
 @dataclass(frozen=True, slots=True)
-class Trusted:
+class DiskTrusted:
     """Whether the disk is known to be the last run's; `highest`: of the others, where it is not."""
 
     lost: bool
@@ -128,15 +128,15 @@
 
 
 Event = (
-    Watched
-    | FollowerGone
-    | Ordered
-    | RegisterAsked
+    WatchReceived
+    | FollowerDisconnected
+    | ChangeRequested
+    | RegisterRequested
     | Stored
-    | OfRegister
-    | OfFollower
-    | Heard
-    | Trusted
+    | RegisterEvent
+    | FollowerEvent
+    | MessageReceived
+    | DiskTrusted
     | Tick
 )
 
@@ -146,38 +146,38 @@
 class ReplyWatch:
     """Answer a watch; None: it cannot be held."""
 
-    number: int
-    answer: WatchAnswer | None
+    correlation_id: int
+    response: WatchResponse | None
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyOrder:
+class ReplyChange:
     """Answer an order."""
 
-    number: int
-    answer: OrderAnswer
+    correlation_id: int
+    response: ChangeResponse
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyAsk:
+class ReplyRegister:
     """Answer a proposer; None: the disk has failed."""
 
-    number: int
-    answer: RegisterAnswer | None
+    correlation_id: int
+    response: RegisterAnswer | None
 
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Watch another server; its answer comes back as OfFollower."""
+    """Watch another server; its answer comes back as FollowerEvent."""
 
     source: str
-    ask: int
+    watch_id: int
     to: str
     watch: RelayWatch
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message that a later one repeats."""
 
     to: str
@@ -185,22 +185,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepOpen:
+class StoreOpenVersion:
     """Write an open version to the disk, then report Stored."""
 
-    number: int
+    correlation_id: int
     record: OpenVersion
 
 
 @dataclass(frozen=True, slots=True)
-class KeepEntry:
+class StoreEntry:
     """Write a decided entry to the disk."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class KeepSnapshot:
+class StoreSnapshot:
     """The log begins at another snapshot: write all of it to the disk."""
 
 
@@ -213,7 +213,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the log."""
 
     what: str
@@ -223,15 +223,15 @@
 
 Action = (
     ReplyWatch
-    | ReplyOrder
-    | ReplyAsk
+    | ReplyChange
+    | ReplyRegister
     | SendWatch
-    | Tell
-    | KeepOpen
-    | KeepEntry
-    | KeepSnapshot
+    | SendMessage
+    | StoreOpenVersion
+    | StoreEntry
+    | StoreSnapshot
     | StartTimer
-    | Say
+    | WriteLog
     | registers.Send
 )
 
@@ -239,28 +239,36 @@
 class ControlServer:
     """One server. `log`: as its disk has it."""
 
-    def __init__(self, plan: Plan, log: ConfigLog, open_versions: tuple[OpenVersion, ...] = ()) -> None:
-        self.plan, self.log = plan, log
+    def __init__(
+        self, identity: ServerIdentity, log: ConfigLog, open_versions: tuple[OpenVersion, ...] = ()
+    ) -> None:
+        self.identity, self.log = identity, log
         self.hub = hub.WatchHub(log)
         self.member: GroupMember | None = None
-        self._trusted = not plan.is_member
+        self._trusted = not identity.is_member
         sources = (
-            [(name,) for name in plan.members if name != plan.name] if plan.is_member else [plan.members]
+            [(name,) for name in identity.members if name != identity.name]
+            if identity.is_member
+            else [identity.members]
         )
         self._followers = {
-            of[0] if plan.is_member else "": follower.Follower(plan.name, plan.run, of, plan.seed, log)
+            of[0] if identity.is_member else "": follower.Follower(
+                identity.name, identity.boot_epoch, of, identity.seed, log
+            )
             for of in sources
         }
-        if plan.is_member:
-            self.member = GroupMember(plan.name, plan.run, plan.members, log, plan.seed)
+        if identity.is_member:
+            self.member = GroupMember(
+                identity.name, identity.boot_epoch, identity.members, log, identity.seed
+            )
             for record in open_versions:
                 self.member.acceptor.open[record.version] = record
-            self.member.acceptor.decided(log.head)
+            self.member.acceptor.advance_head(log.head)
         self._beat_at = self._report_at = -math.inf
 
     def _make_follower(self, sources: tuple[str, ...]) -> follower.Follower:
-        plan = self.plan
-        return follower.Follower(plan.name, plan.run, sources, plan.seed, self.log)
+        identity = self.identity
+        return follower.Follower(identity.name, identity.boot_epoch, sources, identity.seed, self.log)
 
     def start(self, now: float) -> list[Action]:
         """Follow others, and keep time."""
@@ -274,51 +282,53 @@
         match event:
             case Tick():
                 return self._tick(now)
-            case Watched(number, watch):
-                return self._replies(self.hub.handle(now, hub.Watched(number, watch)))
-            case FollowerGone(number):
-                return self._replies(self.hub.handle(now, hub.Gone(number)))
-            case OfFollower(source, inner):
+            case WatchReceived(correlation_id, watch):
+                return self._replies(self.hub.handle(now, hub.WatchReceived(correlation_id, watch)))
+            case FollowerDisconnected(correlation_id):
+                return self._replies(self.hub.handle(now, hub.Disconnected(correlation_id)))
+            case FollowerEvent(source, inner):
                 return self._follow(now, source, self._followers[source].handle(inner))
             case _:
                 return self._of_member(now, event)
 
     def _of_member(self, now: float, event: Event) -> list[Action]:
         member = self.member
-        if isinstance(event, RegisterAsked) and (member is None or not self._trusted):
-            return [ReplyAsk(event.number, None)]
+        if isinstance(event, RegisterRequested) and (member is None or not self._trusted):
+            return [ReplyRegister(event.correlation_id, None)]
         if member is None:
             return self._not_a_member(event)
         match event:
-            case Ordered(number, order):
-                return self._carry_out(now, member.order(now, number, order))
-            case RegisterAsked(number, ask):
-                return self._carry_out(now, member.accept(acceptor.Asked(number, ask)))
-            case Stored(number, ok):
-                stored = acceptor.Stored(number) if ok else acceptor.StoreFailed(number)
-                return self._carry_out(now, member.accept(stored))
-            case OfRegister(inner):
-                return self._carry_out(now, member.register_event(now, inner))
-            case Heard(Heartbeat() as beat):
-                member.heartbeat(now, beat)
-            case Heard(Report() as report):
-                member.reported(now, report)
-            case Trusted(lost, highest):
+            case ChangeRequested(correlation_id, request):
+                return self._carry_out(now, member.request_change(now, correlation_id, request))
+            case RegisterRequested(correlation_id, message):
+                return self._carry_out(
+                    now, member.handle_acceptor_event(acceptor.Asked(correlation_id, message))
+                )
+            case Stored(correlation_id, ok):
+                stored = acceptor.Stored(correlation_id) if ok else acceptor.StoreFailed(correlation_id)
+                return self._carry_out(now, member.handle_acceptor_event(stored))
+            case RegisterEvent(inner):
+                return self._carry_out(now, member.handle_register_event(now, inner))
+            case MessageReceived(Heartbeat() as beat):
+                member.handle_heartbeat(now, beat)
+            case MessageReceived(Report() as report):
+                member.handle_report(now, report)
+            case DiskTrusted(lost, highest):
                 return self._trust(member, lost, highest)
         return []
 
     def _not_a_member(self, event: Event) -> list[Action]:
-        if not isinstance(event, Ordered):
+        if not isinstance(event, ChangeRequested):
             return []
-        reason = "not a member of the group: " + ", ".join(self.plan.members)
-        return [ReplyOrder(event.number, OrderAnswer(Outcome.REFUSED, reason=reason))]
+        reason = "not a member of the group: " + ", ".join(self.identity.members)
+        return [ReplyChange(event.correlation_id, ChangeResponse(Outcome.REFUSED, reason=reason))]
 
     def _trust(self, member: GroupMember, lost: bool, highest: int) -> list[Action]:
         self._trusted = True
         if not lost:
             return []
-        member.acceptor.silent_up_to = highest + 1
-        return [Say("the disk was lost", f"silent up to version {highest + 1}")]
+        member.acceptor.abstain_up_to = highest + 1
+        return [WriteLog("the disk was lost", f"silent up to version {highest + 1}")]
 
     # ---- Time ---------------------------------------------------------------------------------------------
     def _tick(self, now: float) -> list[Action]:
@@ -331,41 +341,43 @@
             return actions
         if now >= self._beat_at:
             self._beat_at = now + HEARTBEAT_MS
-            beat = Heartbeat(self.plan.name, self.plan.run, self.log.head)
-            actions += [Tell(name, beat) for name in self.plan.members if name != self.plan.name]
+            beat = Heartbeat(self.identity.name, self.identity.boot_epoch, self.log.head)
+            actions += [
+                SendMessage(name, beat) for name in self.identity.members if name != self.identity.name
+            ]
         if self._trusted:
             actions += self._carry_out(now, self.member.tick(now))
         return actions
 
     def _report(self, now: float) -> list[Action]:
         """What this server's own directors have in force, to every member of the group."""
-        plan = self.plan
-        report = self.hub.roster.report(now, plan.name, plan.run, plan.zone, self.log.head)
+        identity = self.identity
+        report = self.hub.roster.report(now, identity.name, identity.boot_epoch, identity.zone, self.log.head)
         if self.member is not None:
-            self.member.reported(now, report)
-        return [Tell(name, report) for name in plan.members if name != plan.name]
+            self.member.handle_report(now, report)
+        return [SendMessage(name, report) for name in identity.members if name != identity.name]
 
     # ---- What the parts want ------------------------------------------------------------------------------
     def _follow(self, now: float, source: str, actions: list[follower.Action]) -> list[Action]:
         out: list[Action] = []
         for action in actions:
             match action:
-                case follower.SendWatch(ask, to, watch):
-                    out.append(SendWatch(source, ask, to, watch))
+                case follower.SendWatch(watch_id, to, watch):
+                    out.append(SendWatch(source, watch_id, to, watch))
                 case watcher.StartTimer(delay_ms, event):
-                    out.append(StartTimer(delay_ms, OfFollower(source, event)))
-                case follower.Grown(after, restored):
+                    out.append(StartTimer(delay_ms, FollowerEvent(source, event)))
+                case follower.LogAdvanced(after, restored):
                     out += self._grown(now, after, restored)
-                case follower.Misfit(of, detail):
-                    out.append(Say("what a source told does not fit the log", f"{of}: {detail}"))
+                case follower.SourceMismatch(of, detail):
+                    out.append(WriteLog("what a source told does not fit the log", f"{of}: {detail}"))
         return out
 
     def _grown(self, now: float, after: int, restored: bool = False) -> list[Action]:
-        kept: list[Action] = [KeepEntry(entry) for entry in self.log.between(after, self.log.head)]
-        out: list[Action] = [KeepSnapshot()] if restored else kept
+        kept: list[Action] = [StoreEntry(entry) for entry in self.log.between(after, self.log.head)]
+        out: list[Action] = [StoreSnapshot()] if restored else kept
         out += self._replies(self.hub.handle(now, hub.LogChanged()))
         if self.member is not None:
-            out += self._carry_out(now, self.member.log_grown(now))
+            out += self._carry_out(now, self.member.handle_log_advanced(now))
         return out
 
     def _learn(self, now: float, entry: Entry) -> list[Action]:
@@ -375,28 +387,28 @@
         try:
             self.log.append(entry)
         except EntryError as error:
-            return [Say("a decided entry does not fit the log", str(error), entry.version)]
+            return [WriteLog("a decided entry does not fit the log", str(error), entry.version)]
         return self._grown(now, entry.version - 1)
 
     def _carry_out(self, now: float, actions: Sequence[group.Action]) -> list[Action]:
         out: list[Action] = []
         for action in actions:
             match action:
-                case Learned(entry):
+                case EntryDecided(entry):
                     out += self._learn(now, entry)
-                case Done(number, answer):
-                    if number:
-                        out.append(ReplyOrder(number, answer))
-                case acceptor.Store(number, record):
-                    out.append(KeepOpen(number, record))
-                case acceptor.Reply(number, message):
-                    out.append(ReplyAsk(number, message))
+                case ProposalFinished(correlation_id, answer):
+                    if correlation_id:
+                        out.append(ReplyChange(correlation_id, answer))
+                case acceptor.Store(correlation_id, record):
+                    out.append(StoreOpenVersion(correlation_id, record))
+                case acceptor.Reply(correlation_id, message):
+                    out.append(ReplyRegister(correlation_id, message))
                 case registers.StartTimer(delay_ms, due):
-                    out.append(StartTimer(delay_ms, OfRegister(due)))
+                    out.append(StartTimer(delay_ms, RegisterEvent(due)))
                 case registers.Send():
                     out.append(action)
         return out
 
     @staticmethod
     def _replies(replies: list[hub.Reply]) -> list[Action]:
-        return [ReplyWatch(reply.number, reply.answer) for reply in replies]
+        return [ReplyWatch(reply.correlation_id, reply.response) for reply in replies]
--- a/foxlift/rollout/books.py
+++ b/foxlift/rollout/stores.py
@@ -14,7 +14,7 @@
 from foxlift.rollout.acceptor import OpenVersion
 from foxlift.rollout.content import Content
 from foxlift.rollout.entry import Change, Entry, EntryError
-from foxlift.rollout.log import KEPT_ENTRIES, ConfigLog
+from foxlift.rollout.log import MAX_ENTRIES, ConfigLog
 from foxlift.store import FilePort, LogError, LogReader, encode_frame, encode_header
 from foxlift.store.groups import GroupWriter
 
@@ -68,7 +68,7 @@
 _decode = msgspec.json.Decoder(_Record).decode
 
 
-class _Book:
+class _RecordStore:
     """A file of records that is appended to, and written anew from `_whole`."""
 
     def __init__(self, files: FilePort, name: str) -> None:
@@ -139,20 +139,20 @@
         yield chunk
 
 
-class ServerBook(_Book):
+class ServerStore(_RecordStore):
     """A control server's: its log, open versions, and the runs of the group's members."""
 
     def __init__(self, files: FilePort, name: str, now_ms: int) -> None:
         """Reads the file and begins a new run. Raises OSError and LogError."""
         super().__init__(files, SERVER_FILE)
-        self.log = ConfigLog(KEPT_ENTRIES)
+        self.log = ConfigLog(MAX_ENTRIES)
         self.open: dict[int, OpenVersion] = {}
-        self.met: dict[str, tuple[int, int]] = {}
+        self.boot_epochs: dict[str, tuple[int, int]] = {}
         self._load()
         self._name = name
-        self.last_run = self.met.get(name, (0, 0))[0]
-        self.run = max(now_ms, self.last_run + 1)
-        self.met[name] = self.run, self.last_run
+        self.previous_boot_epoch = self.boot_epochs.get(name, (0, 0))[0]
+        self.boot_epoch = max(now_ms, self.previous_boot_epoch + 1)
+        self.boot_epochs[name] = self.boot_epoch, self.previous_boot_epoch
         self._begin()
 
     def _load(self) -> None:
@@ -183,7 +183,7 @@
             case _Open(open_version):
                 self.open[open_version.version] = open_version
             case _Run(name, run, before):
-                self.met[name] = run, before
+                self.boot_epochs[name] = run, before
             case _:
                 raise LogError(f"{SERVER_FILE}: a director's record")
 
@@ -193,45 +193,45 @@
     def _whole(self) -> Iterable[_Record]:
         self._drop_decided()
         yield _Base(self.log.base)
-        for chunk in _chunks(self.log.floor.values):
+        for chunk in _chunks(self.log.base_content.values):
             yield _Values(chunk)
         yield _Requests({r: version for r, version in self.log.requests.items() if version <= self.log.base})
-        for name, (run, before) in sorted(self.met.items()):
+        for name, (run, before) in sorted(self.boot_epochs.items()):
             yield _Run(name, run, before)
         for record in self.open.values():
             yield _Open(record)
         for entry in self.log.entries:
             yield _Decided(entry)
 
-    def keep_open(self, record: OpenVersion, done: Done) -> None:
+    def store_open_version(self, record: OpenVersion, done: Done) -> None:
         """Write an open version down."""
         self.open[record.version] = record
         self._append(_Open(record), done)
 
-    def keep_entry(self, entry: Entry) -> None:
+    def store_entry(self, entry: Entry) -> None:
         """Write an entry of the log down; it is in `log` already."""
         self._append(_Decided(entry))
 
-    def meet(self, name: str, run: int, done: Callable[[int | None], None]) -> None:
+    def store_boot_epoch(self, name: str, run: int, done: Callable[[int | None], None]) -> None:
         """Write down that a member is in this run; tells which it was in before, None if the disk failed."""
-        known, before = self.met.get(name, (0, 0))
+        known, before = self.boot_epochs.get(name, (0, 0))
         if run < known:
             done(known)  # of a process that is no more
             return
         if run > known:
             before = known
-            self.met[name] = run, before
+            self.boot_epochs[name] = run, before
         self._append(_Run(name, run, before), lambda error: done(before if error is None else None))
 
 
-class DirectorBook(_Book):
+class DirectorStore(_RecordStore):
     """A director's: the content that it has in force. `content` is shared with its agent, who changes it."""
 
     def __init__(self, files: FilePort) -> None:
         """Reads the file. Raises OSError. What cannot be used is not an error: it begins at nothing."""
         super().__init__(files, DIRECTOR_FILE)
         self.version, self.content = 0, Content()
-        self.unusable = ""  # why what was there is not used
+        self.unusable_reason = ""  # why what was there is not used
         try:
             self._load()
         except LogError as error:
@@ -255,9 +255,9 @@
             raise LogError(f"{DIRECTOR_FILE}: the content is not that of version {self.version}")
 
     def _forget(self, why: str) -> None:
-        self.version, self.content, self.unusable = 0, Content(), why
+        self.version, self.content, self.unusable_reason = 0, Content(), why
 
-    def start_anew(self, why: str) -> None:
+    def reset(self, why: str) -> None:
         """What is kept cannot be put in force: begin at nothing."""
         self._forget(why)
         self.rewrite()
@@ -268,7 +268,7 @@
             yield _Values(chunk)
         yield _InForce(self.version, Change(), self.content.digest)
 
-    def keep(self, version: int, change: Change, whole: bool, done: Done) -> None:
+    def store_change(self, version: int, change: Change, whole: bool, done: Done) -> None:
         """Write down what leads to this version; `content` is that of the version already."""
         self.version = version
         if whole:
--- a/foxlift/rollout/watcher.py
+++ b/foxlift/rollout/watcher.py
@@ -1,13 +1,13 @@
 """A follower's side of the watch: which source is asked, when again, and what of an answer counts. No I/O.
 
     state    event                              next     what is done
-    IDLE     start, AskDue                      ASKING   Ask a source
-    ASKING   Answered, it brought the follower  ASKING   ask the same source at once
+    IDLE     start, PollDue                      ASKING   Ask a source
+    ASKING   PollAnswered, it brought the follower  ASKING   ask the same source at once
              on
-    ASKING   Answered, nothing new              IDLE     the same source, after a while
-    ASKING   Answered, older than the follower  IDLE     the next source, after a while
-    ASKING   Unanswered                         IDLE     the next source, after a while that doubles
-    ASKING   OverdueDue                         IDLE     the same: a source that says nothing is no source
+    ASKING   PollAnswered, nothing new              IDLE     the same source, after a while
+    ASKING   PollAnswered, older than the follower  IDLE     the next source, after a while
+    ASKING   PollFailed                         IDLE     the next source, after a while that doubles
+    ASKING   PollTimeoutDue                         IDLE     the same: a source that says nothing is no source
 
 A source that lies behind its followers (a relay that has restarted) is left for another; the follower keeps
 what it has. Sources are tried in the order of a hash of the follower's name, so that followers of one zone
@@ -22,9 +22,9 @@
 
 from foxlift.accord.spread import rank
 
-HOLD_MS = 5000.0  # how long a source may hold a watch that it has no news for
-OVERDUE_MS = HOLD_MS + 2000.0  # without an answer for so long a source counts as gone
-RETRY_MS = 100.0  # wait before the next source is asked; doubles with each that fails in a row
+MAX_HOLD_MS = 5000.0  # how long a source may hold a watch that it has no news for
+POLL_TIMEOUT_MS = MAX_HOLD_MS + 2000.0  # without an answer for so long a source counts as gone
+MIN_RETRY_MS = 100.0  # wait before the next source is asked; doubles with each that fails in a row
 MAX_RETRY_MS = 3000.0
 
 
@@ -36,50 +36,50 @@
 class Progress(Enum):
     """What an answer meant to the follower."""
 
-    FORWARD = "it was brought on"
-    NOTHING = "nothing new"
-    BEHIND = "the source is behind, or its answer does not fit"
+    ADVANCED = "it was brought on"
+    UNCHANGED = "nothing new"
+    UNUSABLE = "the source is behind, or its answer does not fit"
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Answered:
+class PollAnswered:
     """The source of this ask has answered."""
 
-    ask: int
+    watch_id: int
     progress: Progress
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class PollFailed:
     """It has not, or cannot be read."""
 
-    ask: int
+    watch_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class AskDue:
+class PollDue:
     """The wait before the next ask is over."""
 
-    turn: int
+    wait_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class OverdueDue:
+class PollTimeoutDue:
     """The answer to this ask is overdue."""
 
-    ask: int
+    watch_id: int
 
 
-Event = Answered | Unanswered | AskDue | OverdueDue
+Event = PollAnswered | PollFailed | PollDue | PollTimeoutDue
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PollSource:
     """Send the follower's watch to a source."""
 
-    ask: int
+    watch_id: int
     source: str
 
 
@@ -88,10 +88,10 @@
     """Handle this event after so long."""
 
     delay_ms: float
-    event: AskDue | OverdueDue
+    event: PollDue | PollTimeoutDue
 
 
-Action = Ask | StartTimer
+Action = PollSource | StartTimer
 
 
 class Watcher:
@@ -103,7 +103,7 @@
         self._state = _State.IDLE
         self._place = 0  # of the source that is asked
         self._failures = 0  # in a row
-        self._last_ask = self._turn = 0
+        self._last_watch_id = self._last_wait_id = 0
 
     @property
     def source(self) -> str:
@@ -117,37 +117,40 @@
     def handle(self, event: Event) -> list[Action]:
         """Take one event in."""
         match event:
-            case AskDue(turn):
-                return self._ask() if self._state is _State.IDLE and turn == self._turn else []
-            case Answered(ask, progress):
-                if not self._is_out(ask):
+            case PollDue(wait_id):
+                return self._ask() if self._state is _State.IDLE and wait_id == self._last_wait_id else []
+            case PollAnswered(watch_id, progress):
+                if not self._is_out(watch_id):
                     return []
-                if progress is Progress.BEHIND:
+                if progress is Progress.UNUSABLE:
                     return self._next_source()
                 self._failures = 0
-                if progress is Progress.FORWARD:
+                if progress is Progress.ADVANCED:
                     return self._ask()
                 # a source that holds no watch must not be asked without pause
-                return self._ask_later(RETRY_MS)
-            case Unanswered(ask) | OverdueDue(ask):
-                return self._next_source() if self._is_out(ask) else []
+                return self._ask_later(MIN_RETRY_MS)
+            case PollFailed(watch_id) | PollTimeoutDue(watch_id):
+                return self._next_source() if self._is_out(watch_id) else []
 
-    def _is_out(self, ask: int) -> bool:
-        return self._state is _State.ASKING and ask == self._last_ask
+    def _is_out(self, watch_id: int) -> bool:
+        return self._state is _State.ASKING and watch_id == self._last_watch_id
 
     def _ask(self) -> list[Action]:
         self._state = _State.ASKING
-        self._last_ask += 1
-        return [Ask(self._last_ask, self.source), StartTimer(OVERDUE_MS, OverdueDue(self._last_ask))]
+        self._last_watch_id += 1
+        return [
+            PollSource(self._last_watch_id, self.source),
+            StartTimer(POLL_TIMEOUT_MS, PollTimeoutDue(self._last_watch_id)),
+        ]
 
     def _next_source(self) -> list[Action]:
         self._place += 1
         # all sources of a zone may be gone: each further round waits longer
-        wait = min(RETRY_MS * 2 ** min(self._failures, 10), MAX_RETRY_MS)
+        wait = min(MIN_RETRY_MS * 2 ** min(self._failures, 10), MAX_RETRY_MS)
         self._failures += 1
         return self._ask_later(wait)
 
     def _ask_later(self, wait_ms: float) -> list[Action]:
         self._state = _State.IDLE
-        self._turn += 1
-        return [StartTimer(wait_ms * (0.5 + self._random.random()), AskDue(self._turn))]
+        self._last_wait_id += 1
+        return [StartTimer(wait_ms * (0.5 + self._random.random()), PollDue(self._last_wait_id))]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,15 +12,15 @@
 
 from foxlift.accord.messages import Accept, Ballot, Prepare, Promise, Reject, Taken
 from foxlift.rollout import acceptor, agent, hub, watcher
-from foxlift.rollout.acceptor import Acceptor, key_of, version_of
+from foxlift.rollout.acceptor import Acceptor, register_key, register_version
 from foxlift.rollout.agent import Agent, Problem
-from foxlift.rollout.books import DirectorBook, ServerBook
 from foxlift.rollout.content import Content, merge
 from foxlift.rollout.entry import Change, Entry, EntryError, check_change
-from foxlift.rollout.kinds import check_forms
-from foxlift.rollout.log import PAGE_CHARS, SINGLE_STEPS, ConfigLog, Step
+from foxlift.rollout.kinds import check_values
+from foxlift.rollout.log import MAX_SINGLE_STEPS, PAGE_CHARS, ConfigLog, Step
 from foxlift.rollout.messages import DirectorWatch, Entries, Page, Refusal, RelayWatch, Steps, Watch
 from foxlift.rollout.roster import CONFIRM_MS, LIVE_MS, Roster
+from foxlift.rollout.stores import DirectorStore, ServerStore
 from foxlift.rollout.watcher import Progress, Watcher
 from foxlift.store import LogError
 from foxlift.store.files import FilePort
@@ -89,7 +89,11 @@
     put(log, b="3")
     revert(log, bad.version)
     assert log.content.values == {"titles/a": "1", "titles/b": "3"}
-    assert log.is_reverted(bad.version) and not log.is_whole(bad.version) and log.is_whole(log.head)
+    assert (
+        log.is_reverted(bad.version)
+        and not log.has_no_reverted_change(bad.version)
+        and log.has_no_reverted_change(log.head)
+    )
 
 
 def test_a_revert_does_not_bring_back_what_was_reverted_before() -> None:
@@ -104,17 +108,17 @@
 
 
 def test_a_revert_whose_version_is_no_longer_kept_has_the_word_itself() -> None:
-    log = ConfigLog(kept=2)
+    log = ConfigLog(max_entries=2)
     bad = put(log, a="bad")
     log.append(entry_after(log, log.revert_change(bad.version), released=2, reverts=bad.version))
     second = put(log, a="worse")
-    assert log.base == 1 and log.writer_of("titles/a", 2) == 2
+    assert log.base == 1 and log.last_writer("titles/a", 2) == 2
     revert(log, second.version)
     assert log.content.values == {}  # and not what was taken back before
 
 
 def test_what_cannot_be_reverted_says_why() -> None:
-    log = ConfigLog(kept=1)
+    log = ConfigLog(max_entries=1)
     put(log, released=True, a="1")
     put(log, released=True, a="2")
     with pytest.raises(EntryError, match="not kept"):
@@ -154,7 +158,7 @@
 def test_steps_and_snapshots_lead_to_the_content_from_wherever_one_begins(
     made: list[tuple[Change, int]], data: st.DataObject
 ) -> None:
-    log, contents = ConfigLog(kept=20), [dict[str, str]()]
+    log, contents = ConfigLog(max_entries=20), [dict[str, str]()]
     for change, what in made:
         reverted = log.head if what == 0 and log.head > log.base else 0
         entry = log.entry(reverted) if reverted else None
@@ -163,7 +167,10 @@
         else:
             log.append(entry_after(log, change, released=log.head if what > 2 else 0))
         contents.append(dict(log.content.values))
-        assert log.fleet.values == contents[log.released] and log.floor.values == contents[log.base]
+        assert (
+            log.released_content.values == contents[log.released]
+            and log.base_content.values == contents[log.base]
+        )
         assert log.content.digest == Content(log.content.values).digest
     after = data.draw(st.integers(log.base, log.head))
     content, at = Content(contents[after]), after
@@ -184,9 +191,9 @@
     for number in range(200):
         put(log, False, **{f"t{number}": "x" * 1000})
     steps = log.steps(0, 200)
-    assert [step.version for step in steps[-SINGLE_STEPS:]] == list(range(201 - SINGLE_STEPS, 201))
+    assert [step.version for step in steps[-MAX_SINGLE_STEPS:]] == list(range(201 - MAX_SINGLE_STEPS, 201))
     assert all(len(msgspec.json.encode(step)) < PAGE_CHARS + 5000 for step in steps)
-    assert len(steps) < SINGLE_STEPS + 6
+    assert len(steps) < MAX_SINGLE_STEPS + 6
 
 
 # ---- A change as it is put in -----------------------------------------------------------------------------
@@ -218,11 +225,11 @@
     key: str, value: str, fault: str
 ) -> None:
     with pytest.raises(EntryError, match=fault):
-        check_forms(Change({key: value}))
+        check_values(Change({key: value}))
 
 
 def test_a_title_is_set_or_withdrawn() -> None:
-    check_forms(Change({"titles/a": '{"first-cell":0,"holders":1,"manifest":"m.mpd"}', "titles/b": "null"}))
+    check_values(Change({"titles/a": '{"first-cell":0,"holders":1,"manifest":"m.mpd"}', "titles/b": "null"}))
 
 
 # ---- A director's agent -----------------------------------------------------------------------------------
@@ -242,7 +249,7 @@
         self._take(self.agent.start())
 
     def _take(self, actions: list[agent.Action]) -> list[agent.Action]:
-        self.done = [a for a in actions if isinstance(a, agent.Apply | agent.Persist | agent.Say)]
+        self.done = [a for a in actions if isinstance(a, agent.Apply | agent.Persist | agent.WriteLog)]
         self.timers = [a for a in actions if isinstance(a, watcher.StartTimer)]
         for action in actions:
             if isinstance(action, agent.SendWatch):
@@ -256,10 +263,10 @@
 
     def answer(self, answer: Steps | Page | Entries | None) -> list[agent.Action]:
         assert self.out is not None
-        return self._take(self.agent.handle(agent.Answered(self.out.ask, answer)))
+        return self._take(self.agent.handle(agent.WatchAnswered(self.out.watch_id, answer)))
 
     def wait(self) -> None:
-        (due,) = (timer.event for timer in self.timers if isinstance(timer.event, watcher.AskDue))
+        (due,) = (timer.event for timer in self.timers if isinstance(timer.event, watcher.PollDue))
         self._take(self.agent.handle(due))
 
 
@@ -282,7 +289,7 @@
     put(log, b="bad")
     put(log, c="1")
     done = driven.answer(lead(log, 0))
-    assert [type(action) for action in done] == [agent.Apply, agent.Persist, agent.Say]
+    assert [type(action) for action in done] == [agent.Apply, agent.Persist, agent.WriteLog]
     assert driven.agent.version == 1 and driven.agent.content.values == {"titles/a": "1"}
     watch = driven.watch
     assert watch.refused is not None and watch.refused.version == 2 and watch.offered == 3
@@ -327,7 +334,7 @@
     log, driven = ConfigLog(), Driven(1, {"titles/a": "wrong", "titles/x": "1"})
     put(log, a="1")
     put(log, b="1")
-    assert [type(a) for a in driven.answer(lead(log, 1))] == [agent.Say]
+    assert [type(a) for a in driven.answer(lead(log, 1))] == [agent.WriteLog]
     assert driven.watch.start == 0 and driven.watch.version == 1 and driven.agent.version == 1
     apply, persist = driven.answer(lead(log, 0))
     assert isinstance(apply, agent.Apply) and isinstance(persist, agent.Persist) and persist.whole
@@ -336,7 +343,7 @@
 
 
 def big_log(count: int = 300) -> ConfigLog:
-    log = ConfigLog(kept=10)
+    log = ConfigLog(max_entries=10)
     for number in range(count):
         put(log, released=True, **{f"t{number}": "x" * 1000})
     return log
@@ -379,12 +386,12 @@
 def test_a_source_that_says_nothing_is_left() -> None:
     made = Watcher("d0", ("r0", "r1"), 1)
     ask, overdue = made.start()
-    assert isinstance(ask, watcher.Ask) and isinstance(overdue, watcher.StartTimer)
+    assert isinstance(ask, watcher.PollSource) and isinstance(overdue, watcher.StartTimer)
     (again,) = made.handle(overdue.event)
     assert isinstance(again, watcher.StartTimer)
     asked = made.handle(again.event)[0]
-    assert isinstance(asked, watcher.Ask) and asked.source != ask.source
-    assert made.handle(watcher.Answered(ask.ask, Progress.FORWARD)) == []  # late: of no use
+    assert isinstance(asked, watcher.PollSource) and asked.source != ask.source
+    assert made.handle(watcher.PollAnswered(ask.watch_id, Progress.ADVANCED)) == []  # late: of no use
 
 
 # ---- A source ---------------------------------------------------------------------------------------------
@@ -393,10 +400,10 @@
     source = hub.WatchHub(log)
     names = [f"d{k}" for k in range(10)]
     for number, name in enumerate(names):
-        assert source.handle(0.0, hub.Watched(number, DirectorWatch(name, 1, 0))) == []
+        assert source.handle(0.0, hub.WatchReceived(number, DirectorWatch(name, 1, 0))) == []
     put(log, a="1")
     (first,) = source.handle(1.0, hub.LogChanged())
-    assert source.roster.is_canary(names[first.number]) and isinstance(first.answer, Steps)
+    assert source.roster.is_canary(names[first.correlation_id]) and isinstance(first.response, Steps)
     log.append(entry_after(log, Change(), released=1))
     assert len(source.handle(2.0, hub.LogChanged())) == 9
 
@@ -406,20 +413,20 @@
     source = hub.WatchHub(log)
     put(log, a="bad")
     refused = DirectorWatch("d0", 1, 0, refused=Refusal(1, "titles/a", "no"), offered=1)
-    assert source.handle(0.0, hub.Watched(1, refused)) == []
+    assert source.handle(0.0, hub.WatchReceived(1, refused)) == []
     put(log, b="1")
     (reply,) = source.handle(1.0, hub.LogChanged())
-    assert isinstance(reply.answer, Steps) and len(reply.answer.steps) == 2
+    assert isinstance(reply.response, Steps) and len(reply.response.steps) == 2
 
 
 def test_a_held_watch_ends_with_nothing_new_and_one_that_left_is_forgotten() -> None:
     source = hub.WatchHub(ConfigLog())
-    source.handle(0.0, hub.Watched(1, DirectorWatch("d0", 1, 0)))
-    source.handle(10.0, hub.Watched(2, RelayWatch("r0", 1, 0)))
-    source.handle(20.0, hub.Watched(3, DirectorWatch("d1", 1, 0)))
-    source.handle(30.0, hub.Gone(3))
-    assert source.handle(watcher.HOLD_MS - 1.0, hub.Tick()) == []
-    replies = source.handle(watcher.HOLD_MS + 20.0, hub.Tick())
+    source.handle(0.0, hub.WatchReceived(1, DirectorWatch("d0", 1, 0)))
+    source.handle(10.0, hub.WatchReceived(2, RelayWatch("r0", 1, 0)))
+    source.handle(20.0, hub.WatchReceived(3, DirectorWatch("d1", 1, 0)))
+    source.handle(30.0, hub.Disconnected(3))
+    assert source.handle(watcher.MAX_HOLD_MS - 1.0, hub.Tick()) == []
+    replies = source.handle(watcher.MAX_HOLD_MS + 20.0, hub.Tick())
     assert replies == [hub.Reply(1, Steps(0)), hub.Reply(2, Entries(0))] and len(source) == 0
 
 
@@ -427,20 +434,24 @@
     source = hub.WatchHub(big_log())
     watches: tuple[Watch, ...] = (DirectorWatch("d0", 1, 3), RelayWatch("r0", 1, 3))
     for number, watch in enumerate(watches):
-        (reply,) = source.handle(0.0, hub.Watched(number, watch))
-        assert isinstance(reply.answer, Page) and reply.answer.page.page == 0
-    (last,) = source.handle(0.0, hub.Watched(9, RelayWatch("r0", 1, 3, 300, len(big_log().snapshot()) - 1)))
-    assert isinstance(last.answer, Page) and last.answer.page.last and last.answer.requests["q300"] == 300
+        (reply,) = source.handle(0.0, hub.WatchReceived(number, watch))
+        assert isinstance(reply.response, Page) and reply.response.page.page == 0
+    (last,) = source.handle(
+        0.0, hub.WatchReceived(9, RelayWatch("r0", 1, 3, 300, len(big_log().snapshot()) - 1))
+    )
+    assert (
+        isinstance(last.response, Page) and last.response.page.last and last.response.requests["q300"] == 300
+    )
 
 
 def test_a_canary_that_falls_silent_with_a_change_is_told_of_until_it_is_forgotten() -> None:
     roster = Roster()
-    roster.heard(0.0, DirectorWatch("d0", 1, 4))
-    roster.offered(10.0, "d0", 5)
+    roster.record_watch(0.0, DirectorWatch("d0", 1, 4))
+    roster.record_offer(10.0, "d0", 5)
     assert roster.report(CONFIRM_MS, "r0", 1, "z", 5).unconfirmed == ()
     report = roster.report(CONFIRM_MS + 20.0, "r0", 1, "z", 5)
     assert [state.version for state in report.unconfirmed] == [5] and report.canaries == ()
-    roster.forget_silent(LIVE_MS + 1.0)
+    roster.remove_silent(LIVE_MS + 1.0)
     assert len(roster) == 0
 
 
@@ -456,7 +467,7 @@
 
 def test_an_acceptor_answers_only_what_its_disk_has() -> None:
     made, low, high = Acceptor(), Ballot(1, "a"), Ballot(2, "b")
-    key = key_of(1)
+    key = register_key(1)
     (store,) = made.handle(acceptor.Asked(1, Prepare(key, high, 0)))
     assert isinstance(store, acceptor.Store)
     assert made.handle(acceptor.Stored(1)) == [acceptor.Reply(1, Promise(key, high))]
@@ -471,19 +482,23 @@
 
 def test_what_is_decided_or_may_have_been_forgotten_gets_no_vote() -> None:
     ballot = Ballot(1, "a")
-    made = Acceptor(head=4, silent_up_to=7)
+    made = Acceptor(head=4, abstain_up_to=7)
     for version in (3, 4, 7):
-        assert told(made, version, Prepare(key_of(version), ballot, 0)) == Reject(key_of(version), ballot)
-    assert told(made, 8, Prepare(key_of(8), ballot, 0)) == Promise(key_of(8), ballot)
-    made.decided(8)
-    assert made.open == {} and told(made, 9, Prepare(key_of(8), ballot, 0)) == Reject(key_of(8), ballot)
+        assert told(made, version, Prepare(register_key(version), ballot, 0)) == Reject(
+            register_key(version), ballot
+        )
+    assert told(made, 8, Prepare(register_key(8), ballot, 0)) == Promise(register_key(8), ballot)
+    made.advance_head(8)
+    assert made.open == {} and told(made, 9, Prepare(register_key(8), ballot, 0)) == Reject(
+        register_key(8), ballot
+    )
 
 
 @pytest.mark.parametrize(
     "key", ["config/", "config/x", "config/01", "config/-1", "t/5", "config/" + "9" * 20]
 )
 def test_a_key_that_is_no_version_gets_no_vote(key: str) -> None:
-    assert version_of(key) is None
+    assert register_version(key) is None
     assert told(Acceptor(), 1, Prepare(key, Ballot(1, "a"), 0)) == Reject(key, Ballot(1, "a"))
 
 
@@ -543,49 +558,49 @@
         """Nobody else has these."""
 
 
-def test_a_servers_book_gives_back_log_open_versions_and_runs() -> None:
+def test_a_servers_store_gives_back_log_open_versions_and_runs() -> None:
     files = MemoryFiles()
-    book = ServerBook(files, "c0", 1000)
-    log = book.log
+    store = ServerStore(files, "c0", 1000)
+    log = store.log
     for number in range(20):
-        book.keep_entry(put(log, released=True, **{f"t{number % 7}": str(number)}))
+        store.store_entry(put(log, released=True, **{f"t{number % 7}": str(number)}))
     open_version = acceptor.OpenVersion(21, Ballot(3, "c1"), Ballot(2, "c2"), "value")
-    book.keep_open(open_version, lambda error: None)
-    book.meet("c1", 7, lambda before: None)
-    again = ServerBook(files, "c0", 500)  # the clock was set back
-    assert again.run == 1001 and again.met["c1"] == (7, 0)
+    store.store_open_version(open_version, lambda error: None)
+    store.store_boot_epoch("c1", 7, lambda before: None)
+    again = ServerStore(files, "c0", 500)  # the clock was set back
+    assert again.boot_epoch == 1001 and again.boot_epochs["c1"] == (7, 0)
     assert again.log.head == 20 and again.log.content.values == log.content.values
     assert again.open == {21: open_version} and again.log.requests == log.requests
-    twice = ServerBook(files, "c0", 2000)
+    twice = ServerStore(files, "c0", 2000)
     assert twice.log.content.digest == log.content.digest and list(twice.log.entries) == list(log.entries)
 
 
-def test_a_directors_book_is_used_only_where_it_is_whole() -> None:
+def test_a_directors_store_is_used_only_where_it_is_undamaged() -> None:
     files = MemoryFiles()
-    book = DirectorBook(files)
+    store = DirectorStore(files)
     changes = [(number + 1, Change({f"titles/t{number}": "1"}), False) for number in range(5)]
     for version, change, is_whole in [*changes, (9, Change({"titles/x": "2"}, ("titles/t0",)), True)]:
-        book.content.apply(change)
-        book.keep(version, change, is_whole, lambda error: None)
+        store.content.apply(change)
+        store.store_change(version, change, is_whole, lambda error: None)
     written = files.files["configuration.log"]
-    again = DirectorBook(files)
-    assert again.version == 9 and again.content.values == book.content.values and not again.unusable
+    again = DirectorStore(files)
+    assert again.version == 9 and again.content.values == store.content.values and not again.unusable_reason
     for spoilt in (written[:20] + b"x" + written[21:], written[:5], b""):
         files.files["configuration.log"] = spoilt
-        lost = DirectorBook(files)
-        assert lost.version in (0, 9) and (lost.version == 9) is (lost.content.values == book.content.values)
-    assert DirectorBook(MemoryFiles()).version == 0
+        lost = DirectorStore(files)
+        assert lost.version in (0, 9) and (lost.version == 9) is (lost.content.values == store.content.values)
+    assert DirectorStore(MemoryFiles()).version == 0
 
 
-def test_a_servers_book_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
+def test_a_servers_store_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
     files = MemoryFiles()
-    book = ServerBook(files, "c0", 1000)
+    store = ServerStore(files, "c0", 1000)
     for number in range(20):
-        book.keep_entry(put(book.log, False, **{f"t{number}": "1"}))
+        store.store_entry(put(store.log, False, **{f"t{number}": "1"}))
     whole = files.files["rollout.log"]
     files.files["rollout.log"] = whole[: len(whole) // 2] + b"????" + whole[len(whole) // 2 + 4 :]
     with pytest.raises(LogError, match="offset"):
-        ServerBook(files, "c0", 1000)
+        ServerStore(files, "c0", 1000)
 
 
 def test_merged_changes_do_what_each_did_in_turn() -> None:
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -15,8 +15,8 @@
 from foxlift.rollout.content import Content
 from foxlift.rollout.entry import Change
 from foxlift.rollout.log import ConfigLog
-from foxlift.rollout.messages import DirectorWatch, Order, OrderAnswer, Outcome, Steps
-from foxlift.rollout.release import Release, ReleaseJudge
+from foxlift.rollout.messages import ChangeRequest, ChangeResponse, DirectorWatch, Outcome, Steps
+from foxlift.rollout.release import Release, ReleasePolicy
 from foxlift.rollout.server import ControlServer
 
 IN_FORCE_MS = 12_000.0  # by the plan, for every change
@@ -32,7 +32,7 @@
 def put(world: RolloutWorld, name: str, value: str = "1", member: str = "c0", request: str = "") -> str:
     """Order one title to be set; the key."""
     key = f"titles/{name}"
-    world.order(member, Order(request or f"q-{name}", Change({key: value})))
+    world.order(member, ChangeRequest(request or f"q-{name}", Change({key: value})))
     return key
 
 
@@ -158,8 +158,8 @@
     world = ready(RolloutWorld(8))
     for name in ("c2", "c3", "c4"):
         world.kill(name)
-    answers: list[OrderAnswer | None] = []
-    order = Order("q-a", Change({"titles/a": "1"}))
+    answers: list[ChangeResponse | None] = []
+    order = ChangeRequest("q-a", Change({"titles/a": "1"}))
     world.order("c0", order, answers.append)
     world.run(7000.0)
     assert [answer.outcome for answer in answers if answer] == [Outcome.UNKNOWN]
@@ -209,8 +209,8 @@
     put(world, "a", "2", request="q2")
     put(world, "b", "2")
     world.run(6000.0)
-    world.order("c2", Order("back", withdraw=world.record.committed["q2"]))
-    world.order("c3", Order("again", withdraw=world.record.committed["q2"]))
+    world.order("c2", ChangeRequest("back", withdraw=world.record.committed["q2"]))
+    world.order("c3", ChangeRequest("again", withdraw=world.record.committed["q2"]))
     world.run(IN_FORCE_MS)
     assert world.record.outcomes == {"committed": 4, "refused": 1}
     assert {world.processes[d].core.content.values["titles/a"] for d in world.directors} == {"1"}
@@ -303,7 +303,7 @@
         return asked(self, request, message)
 
     def key_is(key: str, version: int) -> bool:
-        return acceptor.version_of(key) == version
+        return acceptor.register_version(key) == version
 
     monkeypatch.setattr(Acceptor, "_asked", forgets)
     assert faults_of(range(60))
@@ -337,7 +337,7 @@
 
 def test_a_release_without_canaries_word_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        ReleaseJudge,
+        ReleasePolicy,
         "decide",
         lambda self, now, log: Release(log.head) if log.last_change(log.head) > log.released else None,
     )
@@ -348,7 +348,7 @@
 
 
 def test_refusals_that_nobody_judges_are_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ReleaseJudge, "_refused", lambda self, reports, log: None)
+    monkeypatch.setattr(ReleasePolicy, "_refused", lambda self, reports, log: None)
     world = ready(RolloutWorld(9, directors=6))
     world.refuses = lambda name, value: (
         value == BAD and name.endswith("-5")
@@ -361,7 +361,7 @@
 def test_orders_that_are_not_recognised_when_they_come_again_are_found_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ConfigLog, "_remember", lambda self, request, version: None)
+    monkeypatch.setattr(ConfigLog, "_record_request", lambda self, request, version: None)
     world = ready(RolloutWorld(3))
     for member in ("c0", "c1"):
         put(world, "a", member=member, request="one")
@@ -375,19 +375,19 @@
     (ask, *_) = made.start()
     assert isinstance(ask, agent.SendWatch)
     old = log.Step(0, 1, Change({"titles/a": "1"}), made.content.digest)
-    made.handle(agent.Answered(ask.ask, Steps(9, (old,))))
+    made.handle(agent.WatchAnswered(ask.watch_id, Steps(9, (old,))))
     assert made.version == 1  # it has gone back
 
 
 def test_a_lost_answer_to_an_order_that_was_carried_out_is_not_carried_out_again() -> None:
     world = ready(RolloutWorld(16, loss=0.2))
-    order = Order("one", Change({"titles/a": "1"}))
+    order = ChangeRequest("one", Change({"titles/a": "1"}))
     for number in range(12):
         world.order(f"c{number % 5}", order)
         world.run(700.0)
     world.loss = 0.0
     assert settle(world) == []
-    assert sum(entry.request == "one" for entry in world.log_of("c0").entries) == 1
+    assert sum(entry.request_id == "one" for entry in world.log_of("c0").entries) == 1
 
 
 def test_orders_and_watches_beyond_their_bounds_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -397,5 +397,5 @@
     assert world.record.outcomes["refused"] >= 19
     monkeypatch.setattr(hub, "MAX_HELD", 2)
     source = hub.WatchHub(ConfigLog())
-    watches = [hub.Watched(number, DirectorWatch(f"d{number}", 1, 0)) for number in range(3)]
+    watches = [hub.WatchReceived(number, DirectorWatch(f"d{number}", 1, 0)) for number in range(3)]
     assert [source.handle(0.0, watch) for watch in watches] == [[], [], [hub.Reply(2, None)]]
