--- a/bench/scale/virtual_rollout.py
+++ b/bench/scale/virtual_rollout.py
@@ -460,9 +460,11 @@
             outcome = answer.outcome.value if answer is not None else "no answer"
             self.record.outcomes[outcome] += 1
             if answer is not None and answer.outcome is Outcome.COMMITTED:
-                before = self.record.committed.setdefault(order.request, answer.version)
+                before = self.record.committed.setdefault(order.request_id, answer.version)
                 if before != answer.version:
-                    self.record.disagreements.append(f"{order.request}: versions {before}, {answer.version}")
+                    self.record.disagreements.append(
+                        f"{order.request_id}: versions {before}, {answer.version}"
+                    )
             done(answer)
 
         if not receiver.up:
@@ -516,11 +518,11 @@
             if entry != entries.get(entry.version, entry):
                 faults.append(f"{name}: version {entry.version} is another entry")
     if longest.base == 0:
-        by_request = Counter(entry.request for entry in entries.values())
+        by_request = Counter(entry.request_id for entry in entries.values())
         faults += [f"{request}: {count} entries" for request, count in by_request.items() if count > 1]
         for request, version in world.record.committed.items():
             found = entries.get(version)
-            if found is None or found.request != request:
+            if found is None or found.request_id != request:
                 faults.append(f"{request}: committed at {version}, and not there")
         for name in world.up_directors():
             core = world.processes[name].core
--- a/foxlift/rollout/entry.py
+++ b/foxlift/rollout/entry.py
@@ -47,7 +47,7 @@
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     author: Name
-    request: RequestId
+    request_id: RequestId = msgspec.field(name="request")
     change: Change = Change()
     reverts: Version = 0
     released: Version = 0
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -39,7 +39,7 @@
     """What an entry is to say. `correlation_id`: the caller's, 0 where nobody waits for the outcome."""
 
     correlation_id: int
-    request: str
+    request_id: str
     change: Change = field(default_factory=Change)
     withdraw: int = 0
     release: int = 0
@@ -93,12 +93,12 @@
 
     def is_pending(self, request: str) -> bool:
         """Whether this request waits for its entry."""
-        queued = any(each.proposal.request == request for each in self._queue)
-        return queued or (self._out is not None and self._out.proposal.request == request)
+        queued = any(each.proposal.request_id == request for each in self._queue)
+        return queued or (self._out is not None and self._out.proposal.request_id == request)
 
     def propose(self, now: float, proposal: Proposal, *, first: bool = False) -> list[Action]:
         """Put an entry into the log; `first`: before all that wait."""
-        known = self._log.requests.get(proposal.request)
+        known = self._log.requests.get(proposal.request_id)
         if known is not None:
             return [ProposalFinished(proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, known))]
         if len(self._queue) >= MAX_QUEUED:
@@ -126,7 +126,7 @@
         if self._out is not None or not self._queue or now < self._not_before:
             return actions
         queued = self._queue.popleft()
-        known = self._log.requests.get(queued.proposal.request)
+        known = self._log.requests.get(queued.proposal.request_id)
         if known is not None:
             answer = ChangeResponse(Outcome.COMMITTED, known)
             return [*actions, ProposalFinished(queued.proposal.correlation_id, answer), *self.advance(now)]
@@ -152,7 +152,7 @@
         return Entry(
             log.head + 1,
             self._name,
-            proposal.request,
+            proposal.request_id,
             change,
             reverts=proposal.withdraw,
             released=proposal.release,
@@ -179,7 +179,7 @@
         learned = EntryDecided(entry)
         if queued is None:
             return [learned]
-        if entry.request == queued.proposal.request:
+        if entry.request_id == queued.proposal.request_id:
             return [
                 learned,
                 ProposalFinished(
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -558,7 +558,7 @@
         """Nobody else has these."""
 
 
-def test_a_servers_book_gives_back_log_open_versions_and_runs() -> None:
+def test_a_servers_store_gives_back_log_open_versions_and_runs() -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     log = store.log
@@ -575,7 +575,7 @@
     assert twice.log.content.digest == log.content.digest and list(twice.log.entries) == list(log.entries)
 
 
-def test_a_directors_book_is_used_only_where_it_has_no_reverted_change() -> None:
+def test_a_directors_store_is_used_only_where_it_is_undamaged() -> None:
     files = MemoryFiles()
     store = DirectorStore(files)
     changes = [(number + 1, Change({f"titles/t{number}": "1"}), False) for number in range(5)]
@@ -592,7 +592,7 @@
     assert DirectorStore(MemoryFiles()).version == 0
 
 
-def test_a_servers_book_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
+def test_a_servers_store_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     for number in range(20):
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -387,7 +387,7 @@
         world.run(700.0)
     world.loss = 0.0
     assert settle(world) == []
-    assert sum(entry.request == "one" for entry in world.log_of("c0").entries) == 1
+    assert sum(entry.request_id == "one" for entry in world.log_of("c0").entries) == 1
 
 
 def test_orders_and_watches_beyond_their_bounds_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
