--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -14,9 +14,9 @@
 from bench.scale.figures import Figure, mean_figure
 from bench.scale.timing import memory_of, processor_of
 from bench.scale.virtual_fleet import answer_bytes, request_bytes
-from foxlift.consensus import Accept, Ballot, Holder, Prepare, Registers, holders_of, register
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import replica as register_holder
+from foxlift.consensus import Accept, Ballot, Prepare, Proposer, Replica, register, replicas_of
+from foxlift.consensus import Response as RegisterAnswer
+from foxlift.consensus import replica as register_replica
 from foxlift.director.cluster.messages import RegisterRequest, RegisterResponse
 from foxlift.recovery import claims as recovery_claims
 
@@ -41,10 +41,10 @@
 def placing(size: int, seed: int) -> list[Figure]:
     """Which directors hold a token's register, and how many tokens move when the fleet grows by one."""
     names, numbers = names_of(size), itertools.count()
-    taken = processor_of(lambda: holders_of(f"{seed}-{next(numbers)}", names, HOLDERS), PLACED)
+    taken = processor_of(lambda: replicas_of(f"{seed}-{next(numbers)}", names, HOLDERS), PLACED)
     larger = [*names, f"d{size}"]
     tokens = [f"{seed}-{k}" for k in range(MOVED)]
-    moved = sum(larger[-1] in holders_of(token, larger, HOLDERS) for token in tokens)
+    moved = sum(larger[-1] in replicas_of(token, larger, HOLDERS) for token in tokens)
     ratio = moved / MOVED
     at_least = max(ratio, 1 / MOVED)  # none seen is not none
     return [
@@ -60,8 +60,8 @@
 
     def __init__(self, seed: int) -> None:
         self.names = names_of(HOLDERS)
-        self.holders = {name: Holder(LONGEST_MS, 10_000) for name in self.names}
-        registers = Registers(f"claimant.{NOW_MS}", seed)
+        self.holders = {name: Replica(LONGEST_MS, 10_000) for name in self.names}
+        registers = Proposer(f"claimant.{NOW_MS}", seed)
         self.claims = recovery_claims.PaidClaims("claimant", NOW_MS, registers)
         self.messages = self.bytes = 0
         self._numbers = itertools.count(1)
@@ -77,7 +77,7 @@
         while pending:
             action = pending.pop(0)
             if isinstance(action, register.Send):
-                answered = register.Answered(action.ask, self._ask(action))
+                answered = register.ResponseReceived(action.request_id, self._ask(action))
                 pending += self.claims.handle(NOW_MS, recovery_claims.OfRegister(answered))
             held |= isinstance(action, recovery_claims.Held)
         if not held:
@@ -89,11 +89,11 @@
         number = next(self._numbers)
         holder = self.holders[send.to]
         answer = None
-        for action in holder.handle(NOW_MS, register_holder.Asked(number, read.ask)):
-            if isinstance(action, register_holder.Store):
+        for action in holder.handle(NOW_MS, register_replica.RequestReceived(number, read.ask)):
+            if isinstance(action, register_replica.Store):
                 msgspec.json.encode(action.record)
-                replies = holder.handle(NOW_MS, register_holder.Stored(number))
-                answer = next(reply.message for reply in replies if isinstance(reply, register_holder.Reply))
+                replies = holder.handle(NOW_MS, register_replica.Stored(number))
+                answer = next(reply.message for reply in replies if isinstance(reply, register_replica.Reply))
         assert answer is not None
         told = msgspec.json.encode(RegisterResponse(send.to, NOW_MS, answer))
         self.messages += 2
@@ -117,7 +117,7 @@
 def holder_state(size: int, seed: int) -> list[Figure]:
     """A holder's memory and disk with so many claims."""
     chance = random.Random(seed)
-    holder = Holder(LONGEST_MS, 10_000)
+    holder = Replica(LONGEST_MS, 10_000)
     ballot = Ballot(1, f"d1.{NOW_MS}")
 
     def fill() -> int:
@@ -125,16 +125,16 @@
         for number in range(size):
             key = f"t/{chance.getrandbits(64):016x}"
             message = Prepare(key, ballot, EXPIRES_MS)
-            holder.handle(NOW_MS, register_holder.Asked(2 * number, message))
-            holder.handle(NOW_MS, register_holder.Stored(2 * number))
+            holder.handle(NOW_MS, register_replica.RequestReceived(2 * number, message))
+            holder.handle(NOW_MS, register_replica.Stored(2 * number))
             accept = msgspec.json.decode(
                 msgspec.json.encode(Accept(key, ballot, EXPIRES_MS, claim_of(number).write())),
                 type=Accept,
             )
-            for action in holder.handle(NOW_MS, register_holder.Asked(2 * number + 1, accept)):
-                if isinstance(action, register_holder.Store):
+            for action in holder.handle(NOW_MS, register_replica.RequestReceived(2 * number + 1, accept)):
+                if isinstance(action, register_replica.Store):
                     disk_bytes += len(msgspec.json.encode(action.record))
-            holder.handle(NOW_MS, register_holder.Stored(2 * number + 1))
+            holder.handle(NOW_MS, register_replica.Stored(2 * number + 1))
         return disk_bytes
 
     disk_bytes, memory = memory_of(fill)
@@ -146,6 +146,6 @@
     ]
 
 
-def _forget(holder: Holder) -> None:
-    holder._forgot_at = 0.0
-    holder._forget(NOW_MS)
+def _forget(holder: Replica) -> None:
+    holder._expiry_checked_at = 0.0
+    holder._delete_expired(NOW_MS)
--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -8,7 +8,7 @@
 from bench.scale.scan import CONFIGURATION, CONTROL, DISCOVERY, PLAN_MAKERS, REGISTER_HOLDERS, Scan
 from foxlift import interface as fl
 from foxlift.config.settings import PeerConfig
-from foxlift.consensus import Accept, Ballot, Holder, Prepare, Record, Registers, holders_of
+from foxlift.consensus import Accept, Ballot, Prepare, Proposer, Record, Replica, replicas_of
 from foxlift.consensus import replica as acceptor
 from foxlift.director.cluster.zone_planning import ReportMessage
 from foxlift.membership import BoxEntry, BoxList, CacheList, Changes, ListAnswer, ListWatch, PollDue
@@ -125,14 +125,14 @@
     return processor_ms(lambda: machine.handle(0.0, heard), rounds=31)
 
 
-# ---- Registers --------------------------------------------------------------------------------------------
+# ---- Proposer --------------------------------------------------------------------------------------------
 def _holders_of_a_claim(directors: int) -> Sample:
     names = frozenset(director_names(directors))
-    return processor_ms(lambda: holders_of("t/7f2c5f3e-6a51-4a0e-9a25-0d2bb9d41c55", names, 5))
+    return processor_ms(lambda: replicas_of("t/7f2c5f3e-6a51-4a0e-9a25-0d2bb9d41c55", names, 5))
 
 
-def _held_registers(keys: int) -> Holder:
-    holder = Holder(LEASE_MS, 10_000)
+def _held_registers(keys: int) -> Replica:
+    holder = Replica(LEASE_MS, 10_000)
     value = (
         '["director-00001",1790000000000,"server-00001","director-00001.19f0-1a2b-0",1790000000000,"b1c2"]'
     )
@@ -143,7 +143,7 @@
         for message in (Prepare(key, ballot, expires), Accept(key, ballot, expires, f"{value} {number}")):
             # as it comes from the wire: every string is its own
             wire = msgspec.json.decode(msgspec.json.encode(message), type=Prepare | Accept)
-            holder.handle(NOW_MS, acceptor.Asked(number, wire))
+            holder.handle(NOW_MS, acceptor.RequestReceived(number, wire))
             holder.handle(NOW_MS, acceptor.Stored(number))
     return holder
 
@@ -155,10 +155,10 @@
 def _forgetting(keys: int) -> Sample:
     ballot = Ballot(1, "director-00001")
     records = {f"t/{number}": Record(f"t/{number}", NOW_MS * 2, ballot) for number in range(keys)}
-    holder = Holder(LEASE_MS, 10_000, records=records)
+    holder = Replica(LEASE_MS, 10_000, records=records)
     clock = iter(range(NOW_MS, NOW_MS * 2, 20_000))
     # another end than the record's: refused at once, so that what is timed is the scan for what is over
-    refused = acceptor.Asked(1, Prepare("t/0", ballot, 1))
+    refused = acceptor.RequestReceived(1, Prepare("t/0", ballot, 1))
     return processor_ms(lambda: holder.handle(next(clock), refused))
 
 
@@ -189,7 +189,7 @@
 def _telling_a_plan(directors: int) -> Sample:
     names = director_names(directors)
     follower = common.Common(
-        names[0], tuple(names[1:6]), Planner(REGIONS), Evidence(ZONES), Registers("r", 1), seed=1
+        names[0], tuple(names[1:6]), Planner(REGIONS), Evidence(ZONES), Proposer("r", 1), seed=1
     )
     follower.handle(0.0, common.There(frozenset(names)))
     follower.handle(0.0, common.Told(Plan(1), 0.0))
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -348,7 +348,7 @@
     Finding(
         Kind.WORK,
         "foxlift/consensus/rendezvous.py",
-        "`holders_of`",
+        "`replicas_of`",
         "all names are hashed and sorted for one claim",
         _scan("place of a claim's register", REGISTER_HOLDERS, "directors"),
         DIRECTORS,
@@ -358,7 +358,7 @@
     Finding(
         Kind.WORK,
         "foxlift/consensus/replica.py",
-        "`_forget`",
+        "`_delete_expired`",
         "all registers are searched for those that are over",
         _scan("scan for registers that are over", REGISTER_HOLDERS, "registers"),
         REGISTERS,
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -19,7 +19,7 @@
 from bench.scale.figures import Figure, mean_figure
 from bench.scale.timing import memory_of, processor_of
 from bench.scale.virtual_fleet import request_bytes
-from foxlift.consensus import Registers
+from foxlift.consensus import Proposer
 from foxlift.director.cluster.zone_planning import REPORT_INTERVAL_MS, PlanMessage, ReportMessage
 from foxlift.zones import common
 from foxlift.zones.evidence import Evidence, Report, Sight
@@ -63,7 +63,7 @@
         tuple(names_of(size)[:MAKERS]),
         Planner(dict(REGION_OF_ZONE)),
         Evidence(tuple(REGION_OF_ZONE)),
-        Registers(f"{name}.{RUN}.zones", 1),
+        Proposer(f"{name}.{RUN}.zones", 1),
         1,
         plan=moved_plan(),
     )
--- a/bench/scale/virtual_rollout.py
+++ b/bench/scale/virtual_rollout.py
@@ -434,7 +434,11 @@
         run = process.run
 
         def came(answer: Any) -> None:
-            event = registers.Unanswered(send.ask) if answer is None else registers.Answered(send.ask, answer)
+            event = (
+                registers.RequestFailed(send.request_id)
+                if answer is None
+                else registers.ResponseReceived(send.request_id, answer)
+            )
             self._handle(process, run, server.OfRegister(event))
 
         def asked(receiver: Process, answered: Callable[[Any], None]) -> None:
--- a/foxlift/consensus/__init__.py
+++ b/foxlift/consensus/__init__.py
@@ -1,29 +1,30 @@
-"""One value in common where directors must not disagree: a register a key, at three of them. No I/O.
+"""Consensus registers: one value a key, agreed on by a majority of its replicas. No I/O.
 
-A paid token is claimed here before its set-up leaves. However the network is cut, whoever is slow, dies or
-comes back, no two claimants are told that they hold a token, for each needs two of the same three holders.
-Where two cannot be reached nobody is told anything but that: a refusal is harmless, a second set-up is not.
+A paid token is claimed in its register before its set-up is sent. Whatever messages or processes are lost,
+slow or restarted, at most one proposer is told that it holds a token, for each needs a majority of the same
+replicas. Where no majority can be reached the proposer is told only that: refusing a set-up is harmless,
+sending a second one is not.
 """
 
-from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
-from foxlift.consensus.register import Change, Decided, Registers, Unreached
-from foxlift.consensus.rendezvous import holders_of
-from foxlift.consensus.replica import Holder, Record
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject, Request, Response
+from foxlift.consensus.register import Change, Decided, NoQuorum, Proposer
+from foxlift.consensus.rendezvous import replicas_of
+from foxlift.consensus.replica import Record, Replica
 
 __all__ = [
     "Accept",
-    "Answer",
-    "Ask",
+    "Accepted",
     "Ballot",
     "Change",
     "Decided",
-    "Holder",
+    "NoQuorum",
     "Prepare",
     "Promise",
+    "Proposer",
     "Record",
-    "Registers",
     "Reject",
-    "Taken",
-    "Unreached",
-    "holders_of",
+    "Replica",
+    "Request",
+    "Response",
+    "replicas_of",
 ]
--- a/foxlift/consensus/messages.py
+++ b/foxlift/consensus/messages.py
@@ -1,4 +1,4 @@
-"""What claimants and holders of registers say to each other."""
+"""Messages between proposers and replicas of registers."""
 
 from __future__ import annotations
 
@@ -9,20 +9,26 @@
 
 Key = Annotated[str, Meta(min_length=1, max_length=200)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-MAX_VALUE_CHARS = 16_000  # that any register's value may have; a holder's own bound may be smaller
+MAX_VALUE_CHARS = 16_000  # of any register's value; a replica may have a smaller limit
 Value = Annotated[str, Meta(max_length=MAX_VALUE_CHARS)]
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """One try of one process. `by` names director and run, so that no two tries have the same."""
+    """Orders the rounds of all proposers.
+
+    `proposer` names director and boot epoch, so no two rounds are equal.
+    """
 
     round: Number
-    by: Name
+    proposer: Name
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """Let no lower ballot pass any more, and tell what has. `expires`: Unix ms, of the key."""
+    """Promise to reject lower ballots, and report the last accepted value.
+
+    `expires`: end of the key, Unix ms.
+    """
 
     key: Key
     ballot: Ballot
@@ -30,7 +36,7 @@
 
 
 class Accept(msgspec.Struct, frozen=True, tag="accept"):
-    """Take this value."""
+    """Accept this value."""
 
     key: Key
     ballot: Ballot
@@ -39,28 +45,31 @@
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """No lower ballot passes here; what was taken last, if anything was."""
+    """Lower ballots are rejected from now on.
+
+    `accepted`: ballot of the last accepted value, None without one.
+    """
 
     key: Key
     ballot: Ballot
-    taken: Ballot | None = None
+    accepted: Ballot | None = msgspec.field(default=None, name="taken")
     value: Value = ""
 
 
-class Taken(msgspec.Struct, frozen=True, tag="taken"):
-    """The value of this ballot is on the holder's disk."""
+class Accepted(msgspec.Struct, frozen=True, tag="taken"):
+    """The value of this ballot is on the replica's disk."""
 
     key: Key
     ballot: Ballot
 
 
 class Reject(msgspec.Struct, frozen=True, tag="reject"):
-    """A higher ballot was here; or, without one, this holder does not vouch for the key."""
+    """`promised`: the higher ballot that was promised; None: this replica cannot answer for the key."""
 
     key: Key
     ballot: Ballot
-    seen: Ballot | None = None
+    promised: Ballot | None = msgspec.field(default=None, name="seen")
 
 
-Ask = Prepare | Accept
-Answer = Promise | Taken | Reject
+Request = Prepare | Accept
+Response = Promise | Accepted | Reject
--- a/foxlift/consensus/register.py
+++ b/foxlift/consensus/register.py
@@ -1,21 +1,23 @@
-"""Changing a register: CASPaxos (Rystsov, 2018), a read and a write in two rounds at two of three holders.
-
-    change      event                                     next        what is done
-    (none)      Change                                    PREPARES    all holders are asked
-    PREPARES    two promise                               WRITES      the highest taken value, or the new one
-    WRITES      two have taken it                         (none)      Decided
-    both        a higher ballot was seen                  WAITS       a while drawn from the seed
-    WAITS       the while is over                         PREPARES    with a ballot above it
-    any         two holders can't be had, or the deadline (none)      Unreached
-
-`expected` is what the register must hold for the new value to be put in: None for an empty one. Whatever
-else it holds is written again and told: then it is decided, and not just perhaps.
-
-While the number of directors changes, `former` holders count too: then more than half of both are needed, so
-that whoever knows only the former ones, or only the present ones, has one in common with this claimant.
-
-After Unreached the new value may still become the decided one, by another's hand: whoever gave up must ask
-again to know either way.
+"""The proposer's side of a register: CASPaxos (Rystsov, 2018), two rounds at a majority of its replicas.
+
+    change     event                                         next       what is done
+    (none)     Change                                        PREPARING  Prepare is sent to all replicas
+    PREPARING  a majority promised                           WRITING    Accept with the value found or the new one
+    WRITING    a majority accepted                           (none)     Decided
+    PREPARING,
+    WRITING    a replica has promised a higher ballot        WAITING    a random back-off begins
+    WAITING    the back-off has ended                        PREPARING  Prepare with a higher ballot
+    any        no majority can answer any more, or deadline  (none)     NoQuorum
+
+The new value is written only where the register holds `expected` (None: it is empty). Any other value found
+is written again and reported as Decided: a value that only some replicas hold is then decided for certain.
+
+While the number of directors changes, the replicas of the former placement count too (`former_replicas`): a
+change needs a majority of both groups. So it has a replica in common with any proposer that knows only one of
+the two groups.
+
+After NoQuorum the new value may still become the decided one, when a later proposer finds it at a replica.
+Only another change of the register tells.
 """
 
 from __future__ import annotations
@@ -25,238 +27,248 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject, Request, Response
 
-AGAIN_MS = 20.0  # least wait after a higher ballot; doubles, and half of it is drawn
-AGAIN_MOST_MS = 640.0
-MOST_CHANGES = 10_000  # at once
+RETRY_MIN_MS = 20.0  # back-off after a higher ballot; doubles each time, half of it is random
+RETRY_MAX_MS = 640.0
+MAX_CHANGES = 10_000  # in progress at once
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Put `value` in where the register holds `expected`. `expires`: Unix ms; `within_ms` from now."""
+    """Set the register to `value` if it holds `expected`.
 
-    number: int  # the caller's, for the answer
+    `expires`: when the key ends, Unix ms. `within_ms`: the deadline, from now.
+    """
+
+    number: int  # chosen by the caller; names the change in the result
     key: str
-    holders: tuple[str, ...]
+    replicas: tuple[str, ...]
     value: str
     expires: int
     within_ms: float
     expected: str | None = None
-    former: tuple[str, ...] = ()
+    former_replicas: tuple[str, ...] = ()
 
     @property
-    def asked(self) -> tuple[str, ...]:
-        """Every holder, once."""
-        return tuple(dict.fromkeys(self.holders + self.former))
+    def all_replicas(self) -> tuple[str, ...]:
+        """Replicas of the present and the former placement, without duplicates."""
+        return tuple(dict.fromkeys(self.replicas + self.former_replicas))
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """A holder's answer to `Send`."""
+class ResponseReceived:
+    """A replica's response to `Send`."""
 
-    ask: int
-    message: Answer
+    request_id: int
+    message: Response
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
-    """No answer to `Send`, or none that can be read."""
+class RequestFailed:
+    """No response to `Send`, or an unreadable one."""
 
-    ask: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class AgainDue:
-    """The while is over."""
+class RetryDue:
+    """The back-off of this change has ended."""
 
     number: int
-    turn: int
+    round_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineDue:
-    """The change is of no use any more."""
+    """The change's deadline has passed."""
 
     number: int
 
 
-ChangeProgress = Answered | Unanswered | AgainDue | DeadlineDue
+ChangeProgress = ResponseReceived | RequestFailed | RetryDue | DeadlineDue
 Event = Change | ChangeProgress
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Ask a holder."""
+    """Send a message to a replica."""
 
     to: str
-    ask: int
-    message: Ask
+    request_id: int
+    message: Request
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Tell this event after so long."""
+    """Deliver `event` after `delay_ms`."""
 
     delay_ms: float
-    event: AgainDue | DeadlineDue
+    event: RetryDue | DeadlineDue
 
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """What the register holds, decided. Equal to the change's value: it was put in."""
+    """The decided value. If it equals the change's value, the change has succeeded."""
 
     number: int
     value: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unreached:
-    """Not decided as far as is known; the new value may still become it."""
+class NoQuorum:
+    """No majority answered in time. The new value may still become the decided one."""
 
     number: int
 
 
-Action = Send | StartTimer | Decided | Unreached
+Action = Send | StartTimer | Decided | NoQuorum
 
 
 class _State(Enum):
-    PREPARES = "prepares"
-    WRITES = "writes"
-    WAITS = "waits"
+    PREPARING = "prepares"
+    WRITING = "writes"
+    WAITING = "waits"
 
 
 @dataclass(slots=True)
 class _Change:
-    asked: Change
+    request: Change
     ballot: Ballot
-    state: _State = _State.PREPARES
-    turn: int = 0
+    state: _State = _State.PREPARING
+    round_id: int = 0
     promises: dict[str, Promise] = field(default_factory=dict)
-    took: set[str] = field(default_factory=set)
-    failed: set[str] = field(default_factory=set)  # holders that can't be had in this turn
+    accepted_by: set[str] = field(default_factory=set)
+    failed: set[str] = field(default_factory=set)  # replicas that failed in this round
     value: str = ""
 
 
-class Registers:
-    """Every change that this process is making. `by` names director and run: no other process ever has it."""
+class Proposer:
+    """All changes in progress in this process.
+
+    `name` identifies director and boot epoch: no other process ever has the same.
+    """
 
-    def __init__(self, by: str, seed: int) -> None:
-        self._by = by
-        self._random = random.Random(f"{seed} {by}")
+    def __init__(self, name: str, seed: int) -> None:
+        self._name = name
+        self._random = random.Random(f"{seed} {name}")
         self._changes: dict[int, _Change] = {}
-        self._asks: dict[int, tuple[int, int, str]] = {}  # ask to change, its turn and the holder
-        self._last = 0
-        self._round = 0
+        self._pending: dict[int, tuple[int, int, str]] = {}  # by request id: change, round, replica
+        self._last_request_id = 0
+        self._highest_round = 0
 
     def __len__(self) -> int:
         return len(self._changes)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms."""
+        """Handle one event; `now` in ms."""
         match event:
             case Change():
-                return self._begin(event)
-            case Answered(ask, message):
-                return self._answered(ask, message)
-            case Unanswered(ask):
-                return self._failed(ask)
-            case AgainDue(number, turn):
+                return self._start(event)
+            case ResponseReceived(request_id, message):
+                return self._response(request_id, message)
+            case RequestFailed(request_id):
+                return self._request_failed(request_id)
+            case RetryDue(number, round_id):
                 change = self._changes.get(number)
-                if change is None or change.turn != turn or change.state is not _State.WAITS:
+                if change is None or change.round_id != round_id or change.state is not _State.WAITING:
                     return []
                 return self._prepare(number, change)
             case DeadlineDue(number):
-                return self._give_up(number)
+                return self._fail(number)
 
-    def _begin(self, asked: Change) -> list[Action]:
-        if len(self._changes) >= MOST_CHANGES or asked.number in self._changes:
-            return [Unreached(asked.number)]
-        change = self._changes[asked.number] = _Change(asked, Ballot(0, self._by))
-        deadline = StartTimer(asked.within_ms, DeadlineDue(asked.number))
-        return [deadline, *self._prepare(asked.number, change)]
+    def _start(self, request: Change) -> list[Action]:
+        if len(self._changes) >= MAX_CHANGES or request.number in self._changes:
+            return [NoQuorum(request.number)]
+        change = self._changes[request.number] = _Change(request, Ballot(0, self._name))
+        deadline = StartTimer(request.within_ms, DeadlineDue(request.number))
+        return [deadline, *self._prepare(request.number, change)]
 
     def _prepare(self, number: int, change: _Change) -> list[Action]:
-        self._round = max(self._round, change.ballot.round) + 1
-        change.ballot = Ballot(self._round, self._by)
-        change.state, change.turn = _State.PREPARES, change.turn + 1
-        change.promises, change.took, change.failed = {}, set(), set()
-        return self._ask_all(number, change, Prepare(change.asked.key, change.ballot, change.asked.expires))
-
-    def _ask_all(self, number: int, change: _Change, message: Ask) -> list[Action]:
+        self._highest_round = max(self._highest_round, change.ballot.round) + 1
+        change.ballot = Ballot(self._highest_round, self._name)
+        change.state, change.round_id = _State.PREPARING, change.round_id + 1
+        change.promises, change.accepted_by, change.failed = {}, set(), set()
+        return self._send_to_all(
+            number, change, Prepare(change.request.key, change.ballot, change.request.expires)
+        )
+
+    def _send_to_all(self, number: int, change: _Change, message: Request) -> list[Action]:
         actions: list[Action] = []
-        for holder in change.asked.asked:
-            self._last += 1
-            self._asks[self._last] = number, change.turn, holder
-            actions.append(Send(holder, self._last, message))
+        for replica in change.request.all_replicas:
+            self._last_request_id += 1
+            self._pending[self._last_request_id] = number, change.round_id, replica
+            actions.append(Send(replica, self._last_request_id, message))
         return actions
 
     def _majority(self, change: _Change, names: Set[str]) -> bool:
-        groups = (change.asked.holders, change.asked.former)
+        groups = (change.request.replicas, change.request.former_replicas)
         return all(2 * len(names & set(group)) > len(group) for group in groups if group)
 
-    def _of(self, ask: int) -> tuple[int, str, _Change | None]:
-        """The change that still waits for this answer."""
-        number, turn, holder = self._asks.pop(ask, (0, 0, ""))
+    def _pending_change(self, request_id: int) -> tuple[int, str, _Change | None]:
+        """Number, replica and change of a request; no change where its response comes too late to matter."""
+        number, round_id, replica = self._pending.pop(request_id, (0, 0, ""))
         change = self._changes.get(number)
-        if change is None or change.turn != turn or change.state is _State.WAITS:
-            return number, holder, None
-        return number, holder, change
+        if change is None or change.round_id != round_id or change.state is _State.WAITING:
+            return number, replica, None
+        return number, replica, change
 
-    def _answered(self, ask: int, message: Answer) -> list[Action]:
-        number, holder, change = self._of(ask)
-        if change is None or message.ballot != change.ballot or message.key != change.asked.key:
+    def _response(self, request_id: int, message: Response) -> list[Action]:
+        number, replica, change = self._pending_change(request_id)
+        if change is None or message.ballot != change.ballot or message.key != change.request.key:
             return []
-        if isinstance(message, Promise) and change.state is _State.PREPARES:
-            change.promises[holder] = message
+        if isinstance(message, Promise) and change.state is _State.PREPARING:
+            change.promises[replica] = message
             if self._majority(change, change.promises.keys()):
                 return self._write(number, change)
-        elif isinstance(message, Taken) and change.state is _State.WRITES:
-            change.took.add(holder)
-            if self._majority(change, change.took):
-                self._end(number)
+        elif isinstance(message, Accepted) and change.state is _State.WRITING:
+            change.accepted_by.add(replica)
+            if self._majority(change, change.accepted_by):
+                self._finish(number)
                 return [Decided(number, change.value)]
         elif isinstance(message, Reject):
-            if message.seen is None:
-                return self._without(number, change, holder)
-            change.ballot = max(change.ballot, message.seen)
-            return self._wait(number, change)
+            if message.promised is None:
+                return self._replica_failed(number, change, replica)
+            change.ballot = max(change.ballot, message.promised)
+            return self._back_off(number, change)
         return []
 
     def _write(self, number: int, change: _Change) -> list[Action]:
-        asked = change.asked
-        taken = [(p.taken, p.value) for p in change.promises.values() if p.taken is not None]
-        held = max(taken)[1] if taken else None
-        # what may be decided already must stay so; only what is known to be there is replaced
-        change.value = asked.value if held == asked.expected or held is None else held
-        change.state, change.turn = _State.WRITES, change.turn + 1
+        request = change.request
+        accepted = [(p.accepted, p.value) for p in change.promises.values() if p.accepted is not None]
+        held = max(accepted)[1] if accepted else None
+        # a value that may be decided already must stay; only the expected value is replaced
+        change.value = request.value if held == request.expected or held is None else held
+        change.state, change.round_id = _State.WRITING, change.round_id + 1
         change.failed = set()
-        return self._ask_all(number, change, Accept(asked.key, change.ballot, asked.expires, change.value))
+        return self._send_to_all(
+            number, change, Accept(request.key, change.ballot, request.expires, change.value)
+        )
 
-    def _wait(self, number: int, change: _Change) -> list[Action]:
-        change.state, change.turn = _State.WAITS, change.turn + 1
-        most = min(AGAIN_MS * 2 ** min(change.turn // 2, 10), AGAIN_MOST_MS)
+    def _back_off(self, number: int, change: _Change) -> list[Action]:
+        change.state, change.round_id = _State.WAITING, change.round_id + 1
+        most = min(RETRY_MIN_MS * 2 ** min(change.round_id // 2, 10), RETRY_MAX_MS)
         delay = most * (0.5 + 0.5 * self._random.random())
-        return [StartTimer(delay, AgainDue(number, change.turn))]
+        return [StartTimer(delay, RetryDue(number, change.round_id))]
 
-    def _failed(self, ask: int) -> list[Action]:
-        number, holder, change = self._of(ask)
-        return [] if change is None else self._without(number, change, holder)
+    def _request_failed(self, request_id: int) -> list[Action]:
+        number, replica, change = self._pending_change(request_id)
+        return [] if change is None else self._replica_failed(number, change, replica)
 
-    def _without(self, number: int, change: _Change, holder: str) -> list[Action]:
-        """A holder can't be had; with too many of them there is no use in waiting for the deadline."""
-        change.failed.add(holder)
-        left = set(change.asked.asked) - change.failed
-        return [] if self._majority(change, left) else self._give_up(number)
+    def _replica_failed(self, number: int, change: _Change, replica: str) -> list[Action]:
+        """A replica has failed; without a possible majority the change ends before its deadline."""
+        change.failed.add(replica)
+        left = set(change.request.all_replicas) - change.failed
+        return [] if self._majority(change, left) else self._fail(number)
 
-    def _give_up(self, number: int) -> list[Action]:
+    def _fail(self, number: int) -> list[Action]:
         if number not in self._changes:
             return []
-        self._end(number)
-        return [Unreached(number)]
+        self._finish(number)
+        return [NoQuorum(number)]
 
-    def _end(self, number: int) -> None:
+    def _finish(self, number: int) -> None:
         del self._changes[number]
-        self._asks = {ask: of for ask, of in self._asks.items() if of[0] != number}
+        self._pending = {key: pending for key, pending in self._pending.items() if pending[0] != number}
--- a/foxlift/consensus/replica.py
+++ b/foxlift/consensus/replica.py
@@ -1,15 +1,16 @@
-"""One director's part of the registers it holds: an acceptor of single-decree Paxos for each key.
-
-    key        event                                 what is done
-    any        Prepare, ballot not under the promise promise it, on disk, then answer
-    any        Accept, ballot not under the promise  take the value, on disk, then answer
-    any        a lower ballot                        Reject with the higher one
-    any        past its end and the clocks' leeway   Reject; forgotten
-    any        that a lost disk may have held        Reject: what it may have said it does not know
-
-A holder answers only what its disk has. One that lost its disk vouches for no key that may be older than its
-loss: a key lives for `longest_ms` at the most, so those that end later than that after its new beginning were
-never seen by the lost one. Until then two others must do.
+"""A director's replica of registers: the acceptor of single-decree Paxos for each key.
+
+    event                                                       response
+    Prepare, ballot not below the promised one                  stored on disk, then Promise
+    Accept, ballot not below the promised one                   stored on disk, then Accepted
+    a ballot below the promised one                             Reject with the promised ballot
+    a key past its end and the leeway between clocks            Reject; the key is deleted
+    a key that may have been on a lost disk                     Reject: promises for it may be forgotten
+
+A response is sent only for what is on the disk. After the loss of its disk a replica rejects every key that
+may be older than the loss. A key lives for `max_lifetime_ms` at most, so a key that ends later than that
+after `disk_lost_at` cannot have been on the lost disk. For all others the remaining replicas have to form a
+majority.
 """
 
 from __future__ import annotations
@@ -18,53 +19,53 @@
 
 import msgspec
 
-from foxlift.consensus.messages import Accept, Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject, Request, Response
 
-MOST_KEYS = 1_000_000  # held at once; more are not vouched for
-MOST_WAITING = 4096  # asks that wait for the disk
+MAX_KEYS = 1_000_000  # held at once; further keys are rejected
+MAX_WAITING = 4096  # requests that wait for the disk
 MAX_VALUE_CHARS = 2000  # of a key's value
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What the disk must have before an answer leaves. The last of a key holds."""
+    """Stored on disk before the response is sent. The last record of a key counts."""
 
     key: str
     expires: int
     promised: Ballot
-    taken: Ballot | None = None
+    accepted: Ballot | None = None
     value: str = ""
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A claimant's message; `request` is the caller's name for its answer."""
+class RequestReceived:
+    """A proposer's message. `request`: number chosen by the caller, names the response."""
 
     request: int
-    message: Ask
+    message: Request
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The record of this request lasts."""
+    """The record of this request is on the disk."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """It may not last: nothing of it is said."""
+    """The record may not be on the disk: the request gets no response."""
 
     request: int
 
 
-Event = Asked | Stored | StoreFailed
+Event = RequestReceived | Stored | StoreFailed
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Make the record last, in the order of these actions, then report Stored."""
+    """Write the record to disk, in the order of these actions, then report Stored or StoreFailed."""
 
     request: int
     record: Record
@@ -72,34 +73,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer the claimant."""
+    """Respond to the proposer."""
 
     request: int
-    message: Answer
+    message: Response
 
 
 Action = Store | Reply
 
 
 @dataclass(slots=True)
-class Holder:
-    """`records`: what the disk has. `lost_at`: Unix ms when a lost disk was begun anew, 0 for the first.
+class Replica:
+    """`records`: the disk's content. `disk_lost_at`: when a lost disk was replaced, Unix ms; 0 for never.
 
-    `longest_ms`: how long a key lives at most; `leeway_ms`: how far clocks may differ.
+    `max_lifetime_ms`: the longest life of a key; `leeway_ms`: the largest difference between clocks.
     """
 
-    longest_ms: int
+    max_lifetime_ms: int
     leeway_ms: int
-    lost_at: int = 0
+    disk_lost_at: int = 0
     records: dict[str, Record] = field(default_factory=dict)
-    _waiting: dict[int, Answer] = field(default_factory=dict)
-    _forgot_at: float = 0.0
+    _waiting: dict[int, Response] = field(default_factory=dict)
+    _expiry_checked_at: float = 0.0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in Unix ms."""
+        """Handle one event; `now` in Unix ms."""
         match event:
-            case Asked(request, message):
-                return self._asked(now, request, message)
+            case RequestReceived(request, message):
+                return self._request(now, request, message)
             case Stored(request):
                 answer = self._waiting.pop(request, None)
                 return [] if answer is None else [Reply(request, answer)]
@@ -107,40 +108,48 @@
                 self._waiting.pop(request, None)
                 return []
 
-    def _asked(self, now: float, request: int, message: Ask) -> list[Action]:
-        self._forget(now)
+    def _request(self, now: float, request: int, message: Request) -> list[Action]:
+        self._delete_expired(now)
         known = self.records.get(message.key)
-        if not self._vouches(now, message, known):
+        if not self._can_answer(now, message, known):
             return [Reply(request, Reject(message.key, message.ballot))]
         if known is not None and message.ballot < known.promised:
             return [Reply(request, Reject(message.key, message.ballot, known.promised))]
-        answer: Answer
+        answer: Response
         if isinstance(message, Prepare):
-            taken, value = (known.taken, known.value) if known is not None else (None, "")
-            record = Record(message.key, message.expires, message.ballot, taken, value)
-            answer = Promise(message.key, message.ballot, taken, value)
+            accepted, value = (known.accepted, known.value) if known is not None else (None, "")
+            record = Record(message.key, message.expires, message.ballot, accepted, value)
+            answer = Promise(message.key, message.ballot, accepted, value)
         else:
             record = Record(message.key, message.expires, message.ballot, message.ballot, message.value)
-            answer = Taken(message.key, message.ballot)
+            answer = Accepted(message.key, message.ballot)
         self.records[message.key] = record
         self._waiting[request] = answer
         return [Store(request, record)]
 
-    def _vouches(self, now: float, message: Ask, known: Record | None) -> bool:
-        """Whether what this holder knows of the key is all that it ever said of it, and there is room."""
+    def _can_answer(self, now: float, message: Request, known: Record | None) -> bool:
+        """Whether this replica still has every promise that it made for the key, and has room for it."""
         if isinstance(message, Accept) and len(message.value) > MAX_VALUE_CHARS:
             return False
         if known is not None:
-            return known.expires == message.expires and len(self._waiting) < MOST_WAITING
-        young = not self.lost_at or message.expires > self.lost_at + self.longest_ms + self.leeway_ms
-        alive = now - self.leeway_ms < message.expires <= now + self.longest_ms + self.leeway_ms
-        return young and alive and len(self.records) < MOST_KEYS and len(self._waiting) < MOST_WAITING
-
-    def _forget(self, now: float) -> None:
-        """What ended so long ago that no clock within the leeway lets it in again."""
-        if now - self._forgot_at < self.leeway_ms + 1000.0:
+            return known.expires == message.expires and len(self._waiting) < MAX_WAITING
+        is_newer_than_loss = (
+            not self.disk_lost_at
+            or message.expires > self.disk_lost_at + self.max_lifetime_ms + self.leeway_ms
+        )
+        is_alive = now - self.leeway_ms < message.expires <= now + self.max_lifetime_ms + self.leeway_ms
+        return (
+            is_newer_than_loss
+            and is_alive
+            and len(self.records) < MAX_KEYS
+            and len(self._waiting) < MAX_WAITING
+        )
+
+    def _delete_expired(self, now: float) -> None:
+        """Delete keys that ended so long ago that no clock within the leeway accepts them again."""
+        if now - self._expiry_checked_at < self.leeway_ms + 1000.0:
             return
-        self._forgot_at = now
-        over = [key for key, record in self.records.items() if record.expires + 2 * self.leeway_ms < now]
-        for key in over:
+        self._expiry_checked_at = now
+        expired = [key for key, record in self.records.items() if record.expires + 2 * self.leeway_ms < now]
+        for key in expired:
             del self.records[key]
--- a/foxlift/control/service.py
+++ b/foxlift/control/service.py
@@ -23,7 +23,7 @@
 import structlog
 
 from foxlift.config.control import ControlConfig
-from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.consensus import register as registers
 from foxlift.control import messages
 from foxlift.control.disk_trust import DiskTrust
@@ -188,7 +188,11 @@
 
     def _send_register(self, send: registers.Send) -> None:
         def answered(answer: RegisterAnswer | None) -> None:
-            event = registers.Unanswered(send.ask) if answer is None else registers.Answered(send.ask, answer)
+            event = (
+                registers.RequestFailed(send.request_id)
+                if answer is None
+                else registers.ResponseReceived(send.request_id, answer)
+            )
             self._loop.call_soon(self._handle, server.OfRegister(event))
 
         if send.to == self.config.name:
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from foxlift.boxes.takeover import TakeAnswer
-from foxlift.consensus import holders_of
+from foxlift.consensus import replicas_of
 from foxlift.decide.claims import Why
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
@@ -91,7 +91,7 @@
         others = [name for name in self._membership.alive() if name != self._context.name]
         if not others:
             return False
-        return self._forward(request, holders_of(token, others, 1)[0])
+        return self._forward(request, replicas_of(token, others, 1)[0])
 
     def viewer_left(self, request: int) -> None:
         """Its viewer has left."""
--- a/foxlift/director/cluster/messages.py
+++ b/foxlift/director/cluster/messages.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.http import Headers
 
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import Ask as RegisterAsk
-from foxlift.consensus import Holder, Reject
+from foxlift.consensus import Reject, Replica
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.consensus import replica as acceptor
-from foxlift.consensus.register import Answered, Send, Unanswered
+from foxlift.consensus.register import RequestFailed, ResponseReceived, Send
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import JSON_HEADERS, RegisterRequest, RegisterResponse
@@ -30,8 +30,8 @@
 
     def __init__(self, context: ClusterContext) -> None:
         self._context = context
-        self._tokens: Holder | None = None
-        self._plan: Holder | None = None
+        self._tokens: Replica | None = None
+        self._plan: Replica | None = None
 
     def begin(self, disk_lost: bool) -> None:
         """Answer from now on. `disk_lost`: what the disk holds may be old, and counts from now only."""
@@ -42,9 +42,9 @@
             book.begin_anew(now)
             book.begun_at = now
         apart = peers.clocks_apart_ms
-        self._tokens = Holder(peers.longest_token_s * 1000, apart, book.begun_at, book.records)
+        self._tokens = Replica(peers.longest_token_s * 1000, apart, book.begun_at, book.records)
         if self._context.name in peers.makers:
-            self._plan = Holder(PLAN_LASTS_MS, apart, book.begun_at, book.records)
+            self._plan = Replica(PLAN_LASTS_MS, apart, book.begun_at, book.records)
         self._context.log.info("registers vouched for", lost=disk_lost, held=len(book.records))
 
     def handle(self, ask: RegisterAsk, reply: Reply) -> None:
@@ -54,9 +54,9 @@
             reply(Reject(ask.key, ask.ballot))
             return
         number = self._context.next_number()
-        self._step(replica, acceptor.Asked(number, ask), reply)
+        self._step(replica, acceptor.RequestReceived(number, ask), reply)
 
-    def _step(self, replica: Holder, event: acceptor.Event, reply: Reply) -> None:
+    def _step(self, replica: Replica, event: acceptor.Event, reply: Reply) -> None:
         for action in replica.handle(self._context.now(), event):
             match action:
                 case acceptor.Store(number, record):
@@ -64,7 +64,7 @@
                 case acceptor.Reply(_, message):
                     reply(message)
 
-    def _store(self, replica: Holder, number: int, record: acceptor.Record, reply: Reply) -> None:
+    def _store(self, replica: Replica, number: int, record: acceptor.Record, reply: Reply) -> None:
         def stored(error: OSError | None) -> None:
             event = acceptor.Stored(number) if error is None else acceptor.StoreFailed(number)
             self._step(replica, event, reply)
@@ -82,11 +82,15 @@
         self.replica = RegisterReplica(context)
         server.add_handler("/peers/registers", self._receive)
 
-    def send(self, send: Send, done: Callable[[Answered | Unanswered], None]) -> None:
+    def send(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
         """Ask a replica, which may be this director's own; `done` is never called from inside."""
 
         def answered(answer: RegisterAnswer | None) -> None:
-            event = Unanswered(send.ask) if answer is None else Answered(send.ask, answer)
+            event = (
+                RequestFailed(send.request_id)
+                if answer is None
+                else ResponseReceived(send.request_id, answer)
+            )
             self._context.loop.call_soon(done, event)
 
         if send.to == self._context.name:
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from foxlift.config import DirectorConfig
-from foxlift.consensus.register import Answered, Send, Unanswered
+from foxlift.consensus.register import RequestFailed, ResponseReceived, Send
 from foxlift.director import events
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
@@ -165,7 +165,7 @@
         """Send a message that a later one repeats."""
         self._client.notify(name, path, body)
 
-    def send_to_register(self, send: Send, done: Callable[[Answered | Unanswered], None]) -> None:
+    def send_to_register(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
         """Ask a replica of the plan's register."""
         self._registers.send(send, done)
 
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from foxlift.consensus import Registers, holders_of
+from foxlift.consensus import Proposer, replicas_of
 from foxlift.consensus.register import ChangeProgress, Send, StartTimer
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
@@ -56,7 +56,7 @@
 
     def __init__(self, context: ClusterContext, host: Host, registers: RegisterEndpoint) -> None:
         self._context, self._host, self._registers = context, host, registers
-        proposer = Registers(f"{context.name}.{context.boot_epoch}", context.config.seed)
+        proposer = Proposer(f"{context.name}.{context.boot_epoch}", context.config.seed)
         self._claims = claims.PaidClaims(context.name, context.boot_epoch, proposer)
         self._outcomes: dict[int, ClaimOutcome] = {}
         self._background: set[int] = set()  # of those: the ones that no set-up waits for
@@ -174,7 +174,7 @@
             claim,
             (expires + config.tokens.leeway_s) * 1000,
             peers.claim_ms,
-            holders_of(token, self._context.members, peers.holders),
+            replicas_of(token, self._context.members, peers.holders),
             expected,
             self._former_replicas(token),
         )
@@ -185,7 +185,9 @@
         peers = self._context.config.peers
         if not peers.former and not peers.former_holders:
             return ()
-        return holders_of(token, peers.former or self._context.members, peers.former_holders or peers.holders)
+        return replicas_of(
+            token, peers.former or self._context.members, peers.former_holders or peers.holders
+        )
 
     def _handle(self, event: claims.Event) -> None:
         for action in self._claims.handle(self._context.now(), event):
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.consensus import Registers, register
+from foxlift.consensus import Proposer, register
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import BootEpoch, PeerName
@@ -64,7 +64,7 @@
         """Send a message that a later one repeats."""
 
     def send_to_register(
-        self, send: register.Send, done: Callable[[register.Answered | register.Unanswered], None]
+        self, send: register.Send, done: Callable[[register.ResponseReceived | register.RequestFailed], None]
     ) -> None:
         """Ask a replica of the plan's register."""
 
@@ -90,7 +90,7 @@
             peers.makers,
             Planner(dict(zip(zones, peers.regions or zones, strict=True))),
             Evidence(zones),
-            Registers(f"{context.name}.{context.boot_epoch}.zones", config.seed),
+            Proposer(f"{context.name}.{context.boot_epoch}.zones", config.seed),
             config.seed,
         )
         self._report_due_at = 0.0
--- a/foxlift/recovery/claims.py
+++ b/foxlift/recovery/claims.py
@@ -66,9 +66,9 @@
     claim: Claim
     expires: int
     within_ms: float
-    holders: tuple[str, ...]
+    replicas: tuple[str, ...]
     instead_of: Claim | None = None
-    former: tuple[str, ...] = ()  # holders before the number of directors changed
+    former_replicas: tuple[str, ...] = ()  # replicas before the number of directors changed
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unclaimed:
-    """Two holders could not be had in time: nothing may leave, and nothing is known."""
+    """Two replicas could not be had in time: nothing may leave, and nothing is known."""
 
     number: int
 
@@ -121,7 +121,7 @@
 
     name: str
     run: int
-    registers: rg.Registers
+    registers: rg.Proposer
     _asked: dict[int, _Asked] = field(default_factory=dict)  # by the change's number
     _lost: dict[str, None] = field(default_factory=dict)  # set-ups that others own now, the oldest first
     _last: int = 0
@@ -153,12 +153,12 @@
         change = rg.Change(
             asked.change,
             want.token,
-            want.holders,
+            want.replicas,
             want.claim.write(),
             want.expires,
             want.within_ms,
             asked.expected,
-            want.former,
+            want.former_replicas,
         )
         return self._came(now, self.registers.handle(now, change))
 
@@ -168,7 +168,7 @@
             match action:
                 case rg.Decided(number, value):
                     out += self._decided(now, self._asked.pop(number), value)
-                case rg.Unreached(number):
+                case rg.NoQuorum(number):
                     out.append(Unclaimed(self._asked.pop(number).want.number))
                 case _:
                     out.append(action)
--- a/foxlift/recovery/takeover.py
+++ b/foxlift/recovery/takeover.py
@@ -38,7 +38,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from foxlift.consensus.rendezvous import holders_of, is_first
+from foxlift.consensus.rendezvous import is_first, replicas_of
 from foxlift.peers.messages import State
 
 MOST_OUT = 4  # takes out at once
@@ -243,7 +243,7 @@
     def successor(self, of: str, box: str) -> str:
         """Who takes over what `of` has at a box, as this director sees it."""
         candidates = [name for name in self._there if name != of] or [self.name]
-        return holders_of(f"{of}/{box}", candidates, 1)[0]
+        return replicas_of(f"{of}/{box}", candidates, 1)[0]
 
     def certain(self, now: float, name: str) -> bool:
         """Whether its end is sure enough to go before a box's hearing from it."""
--- a/foxlift/rollout/acceptor.py
+++ b/foxlift/rollout/acceptor.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from foxlift.consensus.messages import Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
-from foxlift.consensus.replica import Asked as Asked
+from foxlift.consensus.messages import Accepted, Ballot, Prepare, Promise, Reject, Request, Response
+from foxlift.consensus.replica import RequestReceived as RequestReceived
 from foxlift.consensus.replica import Stored as Stored
 from foxlift.consensus.replica import StoreFailed as StoreFailed
 
@@ -52,7 +52,7 @@
     value: str = ""
 
 
-Event = Asked | Stored | StoreFailed
+Event = RequestReceived | Stored | StoreFailed
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer the proposer; None: the disk has failed."""
+    """Response the proposer; None: the disk has failed."""
 
     request: int
-    message: Answer | None
+    message: Response | None
 
 
 Action = Store | Reply
@@ -82,7 +82,7 @@
     head: int = 0
     silent_up_to: int = 0
     open: dict[int, OpenVersion] = field(default_factory=dict)
-    _waiting: dict[int, Answer] = field(default_factory=dict)
+    _waiting: dict[int, Response] = field(default_factory=dict)
 
     @property
     def highest(self) -> int:
@@ -99,7 +99,7 @@
     def handle(self, event: Event) -> list[Action]:
         """Take one event in."""
         match event:
-            case Asked(request, message):
+            case RequestReceived(request, message):
                 return self._asked(request, message)
             case Stored(request):
                 answer = self._waiting.pop(request, None)
@@ -108,21 +108,21 @@
                 self._waiting.pop(request, None)
                 return [Reply(request, None)]
 
-    def _asked(self, request: int, message: Ask) -> list[Action]:
+    def _asked(self, request: int, message: Request) -> list[Action]:
         version = version_of(message.key)
         if version is None or not self._vouches(version):
             return [Reply(request, Reject(message.key, message.ballot))]
         known = self.open.get(version)
         if known is not None and message.ballot < known.promised:
             return [Reply(request, Reject(message.key, message.ballot, known.promised))]
-        answer: Answer
+        answer: Response
         if isinstance(message, Prepare):
             taken, value = (known.taken, known.value) if known is not None else (None, "")
             record = OpenVersion(version, message.ballot, taken, value)
             answer = Promise(message.key, message.ballot, taken, value)
         else:
             record = OpenVersion(version, message.ballot, message.ballot, message.value)
-            answer = Taken(message.key, message.ballot)
+            answer = Accepted(message.key, message.ballot)
         self.open[version] = record
         self._waiting[request] = answer
         return [Store(request, record)]
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -75,7 +75,7 @@
 
     def __init__(self, name: str, run: int, members: tuple[str, ...], log: ConfigLog, seed: int) -> None:
         self._name, self._members, self._log = name, members, log
-        self._registers = registers.Registers(f"{name}.{run}.config", seed)
+        self._registers = registers.Proposer(f"{name}.{run}.config", seed)
         self._random = random.Random(f"{seed} proposer {name}")
         self._queue: deque[_Queued] = deque()
         self._out: _Queued | None = None
@@ -160,7 +160,7 @@
             match action:
                 case registers.Decided(_, value):
                     out += self._decided(read_entry(value))
-                case registers.Unreached():
+                case registers.NoQuorum():
                     out += self._unreached(now)
                 case _:
                     out.append(action)
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.consensus import register as registers
 from foxlift.rollout import acceptor, follower, group, hub, watcher
 from foxlift.rollout.acceptor import OpenVersion
@@ -293,7 +293,7 @@
             case Ordered(number, order):
                 return self._carry_out(now, member.order(now, number, order))
             case RegisterAsked(number, ask):
-                return self._carry_out(now, member.accept(acceptor.Asked(number, ask)))
+                return self._carry_out(now, member.accept(acceptor.RequestReceived(number, ask)))
             case Stored(number, ok):
                 stored = acceptor.Stored(number) if ok else acceptor.StoreFailed(number)
                 return self._carry_out(now, member.accept(stored))
--- a/foxlift/zones/common.py
+++ b/foxlift/zones/common.py
@@ -135,7 +135,7 @@
     makers: tuple[str, ...]
     planner: Planner
     evidence: Evidence
-    registers: rg.Registers
+    registers: rg.Proposer
     seed: int
     plan: Plan = field(default_factory=Plan)
     fallen_back: bool = False
@@ -217,7 +217,7 @@
                     self._state, self._wait_ms, self._word_at = _State.IDLE, AGAIN_MS, now
                     found = read_plan(value)
                     out += self._learn(now, found) if found is not None else []
-                case rg.Unreached():
+                case rg.NoQuorum():
                     self._state = _State.WAITS
                     self._again_at = now + self._wait_ms * (0.5 + 0.5 * self._random.random())
                     self._wait_ms = min(self._wait_ms * 2, AGAIN_MOST_MS)
--- a/tests/consensus_world.py
+++ b/tests/consensus_world.py
@@ -1,4 +1,4 @@
-"""Claimants and holders of registers in virtual time, under a scheduler that may do anything to messages.
+"""Claimants and replicas of registers in virtual time, under a scheduler that may do anything to messages.
 
 The scheduler picks what happens next: any message that is out is delivered, delivered twice or lost; any
 process is killed and comes back with its disk; a disk finishes or not. What was decided is judged by what
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.consensus import Holder, Record, Registers, holders_of
+from foxlift.consensus import Proposer, Record, Replica, replicas_of
 from foxlift.consensus import register as rg
 from foxlift.consensus import replica as rp
 
@@ -20,40 +20,40 @@
 
 @dataclass
 class Disk:
-    """What lasts of a holder."""
+    """What lasts of a replica."""
 
     records: dict[str, Record] = field(default_factory=dict)
-    lost_at: int = 0
+    disk_lost_at: int = 0
 
 
 @dataclass
 class World:
-    """One key, three holders, some claimants; a claimant's run is part of its name."""
+    """One key, three replicas, some claimants; a claimant's run is part of its name."""
 
     seed: int
     claimants: int = 2
-    make_holder: Callable[..., Holder] = Holder
-    make_registers: Callable[[str, int], Registers] = Registers
+    make_replica: Callable[..., Replica] = Replica
+    make_registers: Callable[[str, int], Proposer] = Proposer
     key: str = "token"
     loss: float = 0.05
-    told: list[tuple[str, str, rg.Decided | rg.Unreached]] = field(default_factory=list)  # who, wanted, what
+    told: list[tuple[str, str, rg.Decided | rg.NoQuorum]] = field(default_factory=list)  # who, wanted, what
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
-        self.names = holders_of(self.key, [f"d{k}" for k in range(5)])
+        self.names = replicas_of(self.key, [f"d{k}" for k in range(5)])
         self.disks = {name: Disk() for name in self.names}
-        self.holders = {name: self._holder(name) for name in self.names}
+        self.replicas = {name: self._replica(name) for name in self.names}
         self.runs = [0] * self.claimants
         self.registers = [self._claimant(k) for k in range(self.claimants)]
         self.out: list[Callable[[], None]] = []  # everything that may happen next
         self.late: list[Callable[[], None]] = []  # deadlines
         self.numbers = 0
 
-    def _holder(self, name: str) -> Holder:
+    def _replica(self, name: str) -> Replica:
         disk = self.disks[name]
-        return self.make_holder(LONGEST, LEEWAY, disk.lost_at, dict(disk.records))
+        return self.make_replica(LONGEST, LEEWAY, disk.disk_lost_at, dict(disk.records))
 
-    def _claimant(self, k: int) -> Registers:
+    def _claimant(self, k: int) -> Proposer:
         return self.make_registers(f"c{k}.{self.runs[k]}", self.seed)
 
     # ---- What may happen ----------------------------------------------------------------------------------
@@ -66,15 +66,15 @@
         self.runs[k] += 1
         self.registers[k] = self._claimant(k)
 
-    def kill_holder(self, name: str) -> None:
-        self.holders[name] = self._holder(name)
+    def kill_replica(self, name: str) -> None:
+        self.replicas[name] = self._replica(name)
 
     def lose_disk(self, name: str) -> None:
         """At some moment between now and the key's end: what was promised there is gone."""
-        self.disks[name] = Disk(lost_at=NOW + 1)
-        self.kill_holder(name)
+        self.disks[name] = Disk(disk_lost_at=NOW + 1)
+        self.kill_replica(name)
 
-    def _do(self, k: int, registers: Registers, value: str, actions: list[rg.Action]) -> None:
+    def _do(self, k: int, registers: Proposer, value: str, actions: list[rg.Action]) -> None:
         for action in actions:
             match action:
                 case rg.Send():
@@ -83,35 +83,35 @@
                     self.late.append(lambda e=event: self._tell(k, registers, value, e))  # type: ignore[misc]
                 case rg.StartTimer(_, event):
                     self.out.append(lambda e=event: self._tell(k, registers, value, e))  # type: ignore[misc]
-                case rg.Decided() | rg.Unreached():
+                case rg.Decided() | rg.NoQuorum():
                     self.told.append((f"c{k}.{self.runs[k]}", value, action))
 
-    def _tell(self, k: int, registers: Registers, value: str, event: rg.Event) -> None:
+    def _tell(self, k: int, registers: Proposer, value: str, event: rg.Event) -> None:
         if self.registers[k] is registers:
             self._do(k, registers, value, registers.handle(NOW, event))
 
-    def _arrives(self, k: int, registers: Registers, value: str, send: rg.Send) -> None:
-        holder = self.holders[send.to]
+    def _arrives(self, k: int, registers: Proposer, value: str, send: rg.Send) -> None:
+        replica = self.replicas[send.to]
         self.numbers += 1
-        for action in holder.handle(NOW, rp.Asked(self.numbers, send.message)):
-            self._holder_does(k, registers, value, send, holder, action)
+        for action in replica.handle(NOW, rp.RequestReceived(self.numbers, send.message)):
+            self._replica_does(k, registers, value, send, replica, action)
 
-    def _holder_does(
-        self, k: int, registers: Registers, value: str, send: rg.Send, holder: Holder, action: rp.Action
+    def _replica_does(
+        self, k: int, registers: Proposer, value: str, send: rg.Send, replica: Replica, action: rp.Action
     ) -> None:
         match action:
             case rp.Store(request, record):
 
                 def lasts() -> None:
-                    if self.holders[send.to] is not holder:
+                    if self.replicas[send.to] is not replica:
                         return  # the process died before: it may or may not be on disk, and nobody was told
                     self.disks[send.to].records[record.key] = record
-                    for more in holder.handle(NOW, rp.Stored(request)):
-                        self._holder_does(k, registers, value, send, holder, more)
+                    for more in replica.handle(NOW, rp.Stored(request)):
+                        self._replica_does(k, registers, value, send, replica, more)
 
                 self._in_order(send.to, lasts)
             case rp.Reply(_, answer):
-                event = rg.Answered(send.ask, answer)
+                event = rg.ResponseReceived(send.request_id, answer)
                 self.out.append(lambda: self._tell(k, registers, value, event))
 
     def _in_order(self, name: str, lasts: Callable[[], None]) -> None:
@@ -132,7 +132,7 @@
             return True
         chance = self.random.random()
         if chance < 0.01:
-            self.kill_holder(self.random.choice(self.names))
+            self.kill_replica(self.random.choice(self.names))
         elif chance < 0.013:
             self.kill_claimant(self.random.randrange(self.claimants))
         index = self.random.randrange(len(self.out))
--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.consensus import Holder, Registers, holders_of
+from foxlift.consensus import Proposer, Replica, replicas_of
 from foxlift.consensus import register as rg
 from foxlift.consensus import replica as rp
 from foxlift.recovery import claims as rc
@@ -20,7 +20,7 @@
 TOKEN, BOX, EXPIRES, APART = "token", "b0", 10_000_000, 50
 
 
-class AtomicRegisters(Registers):
+class AtomicRegisters(Proposer):
     """One register that answers at once, for worlds small enough to be explored whole."""
 
     value: str | None = None
@@ -76,7 +76,7 @@
         self.boots = 0
         self.store: dict[str, str | None] = {"value": None}
         self.disks: dict[str, dict[str, rp.Record]] = {name: {} for name in self.names}
-        self.holders = {name: Holder(EXPIRES, 0, 0, self.disks[name]) for name in self.names}
+        self.replicas = {name: Replica(EXPIRES, 0, 0, self.disks[name]) for name in self.names}
         self.processes: dict[str, Process] = {}
         self.runs = dict.fromkeys(self.names, 0)
         self.numbers = 0
@@ -87,12 +87,12 @@
     def start(self, name: str) -> None:
         self.runs[name] += 1
         run = self.runs[name]
-        registers: Registers
+        registers: Proposer
         if self.atomic:
             registers = AtomicRegisters(f"{name}.{run}", self.seed)
             registers.store = self.store
         else:
-            registers = Registers(f"{name}.{run}", self.seed)
+            registers = Proposer(f"{name}.{run}", self.seed)
         claims = self.make_claims(name, run, registers)
         routes = self.make_routes(
             name, self.seed, lambda other: self.any(), lambda other: True, lambda of, box: name, APART
@@ -108,7 +108,7 @@
         self.owners.streams.pop(name, None)
         if not self.atomic:
             # what its disk had not finished may or may not be there; nothing was said of it
-            self.holders[name] = Holder(EXPIRES, 0, 0, self.disks[name])
+            self.replicas[name] = Replica(EXPIRES, 0, 0, self.disks[name])
 
     def box_dies(self) -> None:
         """And is back: it has forgotten all, and says since when it remembers."""
@@ -137,8 +137,8 @@
         boot = str(max(self.boots - self.random.choice((0, 0, 0, 1)), 0))  # perhaps not the latest
         claim = rc.Claim(process.name, process.run, BOX, set_up, self.now, boot)
         process.pending[self.numbers] = claim
-        holders = holders_of(TOKEN, self.names)
-        want = rc.Want(self.numbers, TOKEN, claim, EXPIRES, 1000.0, holders, instead_of)
+        replicas = replicas_of(TOKEN, self.names)
+        want = rc.Want(self.numbers, TOKEN, claim, EXPIRES, 1000.0, replicas, instead_of)
         self.do_claims(process, process.claims.handle(self.now, want))
 
     def of(self, process: Process, then: Callable[[], None]) -> Callable[[], None]:
@@ -163,7 +163,7 @@
                 case rc.Unclaimed(number):
                     process.pending.pop(number, None)
                 case rg.Send():
-                    self.send("ask", lambda s=action: self.holder_asked(process, s))  # type: ignore[misc]
+                    self.send("ask", lambda s=action: self.replica_asked(process, s))  # type: ignore[misc]
                 case rg.StartTimer(_, rg.DeadlineDue() as event):
                     self.late.append(self.of(process, lambda e=event: self.register(process, e)))  # type: ignore[misc]
                 case rg.StartTimer(_, event):
@@ -173,21 +173,21 @@
         assert not isinstance(event, rg.Change)
         self.do_claims(process, process.claims.handle(self.now, rc.OfRegister(event)))
 
-    def holder_asked(self, process: Process, send: rg.Send) -> None:
+    def replica_asked(self, process: Process, send: rg.Send) -> None:
         if not self.processes[send.to].up:
             return
         self.numbers += 1
-        holder = self.holders[send.to]
-        for action in holder.handle(self.now, rp.Asked(self.numbers, send.message)):
-            self.holder_does(process, send, holder, action)
+        replica = self.replicas[send.to]
+        for action in replica.handle(self.now, rp.RequestReceived(self.numbers, send.message)):
+            self.replica_does(process, send, replica, action)
 
-    def holder_does(self, process: Process, send: rg.Send, holder: Holder, action: rp.Action) -> None:
+    def replica_does(self, process: Process, send: rg.Send, replica: Replica, action: rp.Action) -> None:
         match action:
             case rp.Store(request, _):
-                for more in holder.handle(self.now, rp.Stored(request)):
-                    self.holder_does(process, send, holder, more)
+                for more in replica.handle(self.now, rp.Stored(request)):
+                    self.replica_does(process, send, replica, more)
             case rp.Reply(_, message):
-                event = rg.Answered(send.ask, message)
+                event = rg.ResponseReceived(send.request_id, message)
                 self.send("answer", self.of(process, lambda: self.register(process, event)))
 
     def route(self, process: Process, event: rt.Event) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Registers of three holders: one value decided, whatever happens; every guard shown to be needed."""
+"""Proposer of three replicas: one value decided, whatever happens; every guard shown to be needed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 import pytest
 from consensus_world import EXPIRES, LEEWAY, LONGEST, NOW, Disk, World
 
-from foxlift.consensus import Accept, Ballot, Holder, Prepare, Promise, Registers, Reject, Taken, holders_of
+from foxlift.consensus import (
+    Accept,
+    Accepted,
+    Ballot,
+    Prepare,
+    Promise,
+    Proposer,
+    Reject,
+    Replica,
+    replicas_of,
+)
 from foxlift.consensus import register as rg
 from foxlift.consensus import replica as rp
 
@@ -33,14 +43,14 @@
 
 @pytest.mark.parametrize("part", range(8))
 def test_one_value_in_twenty_thousand_schedules(part: int) -> None:
-    """Seeds 0 to 19,999: messages in any order, lost, doubled; holders and claimants killed."""
+    """Seeds 0 to 19,999: messages in any order, lost, doubled; replicas and claimants killed."""
     ends: Counter[str] = Counter()
     for seed in range(part * SCHEDULES // 8, (part + 1) * SCHEDULES // 8):
         world = play(World(seed, claimants=2 + seed % 2), 150)
         decided = world.decided()
         assert len(decided) <= 1, f"seed {seed}: {sorted(decided)}"
         ends["decided" if decided else "nothing told"] += 1
-        ends["unreached"] += any(isinstance(what, rg.Unreached) for _, _, what in world.told)
+        ends["unreached"] += any(isinstance(what, rg.NoQuorum) for _, _, what in world.told)
     assert ends["decided"] > SCHEDULES / 24 and ends["unreached"]
 
 
@@ -49,29 +59,29 @@
 
 
 class Forgetful(World):
-    """Its holders answer before the disk has it."""
+    """Its replicas answer before the disk has it."""
 
-    def _holder_does(self, k, registers, value, send, holder, action):  # type: ignore[no-untyped-def]
+    def _replica_does(self, k, registers, value, send, replica, action):  # type: ignore[no-untyped-def]
         if isinstance(action, rp.Store):
-            for more in holder.handle(NOW, rp.Stored(action.request)):
-                super()._holder_does(k, registers, value, send, holder, more)
+            for more in replica.handle(NOW, rp.Stored(action.request)):
+                super()._replica_does(k, registers, value, send, replica, more)
             return
-        super()._holder_does(k, registers, value, send, holder, action)
+        super()._replica_does(k, registers, value, send, replica, action)
 
 
-class Lax(Holder):
+class Lax(Replica):
     """Lets a lower ballot pass."""
 
-    def _asked(self, now, request, message):  # type: ignore[no-untyped-def]
+    def _request(self, now, request, message):  # type: ignore[no-untyped-def]
         known = self.records.get(message.key)
         if known is not None and message.ballot < known.promised:
             self.records[message.key] = rp.Record(
-                known.key, known.expires, message.ballot, known.taken, known.value
+                known.key, known.expires, message.ballot, known.accepted, known.value
             )
-        return super()._asked(now, request, message)
+        return super()._request(now, request, message)
 
 
-class Deaf(Registers):
+class Deaf(Proposer):
     """Writes its own value whatever was taken before."""
 
     def _write(self, number, change):  # type: ignore[no-untyped-def]
@@ -79,8 +89,8 @@
         return super()._write(number, change)
 
 
-class Minority(Registers):
-    """One holder is enough for it."""
+class Minority(Proposer):
+    """One replica is enough for it."""
 
     def _majority(self, change, names):  # type: ignore[no-untyped-def]
         return len(names) >= 1
@@ -90,7 +100,7 @@
     ("world", "made"),
     [
         (Forgetful, {}),
-        (World, {"make_holder": Lax}),
+        (World, {"make_replica": Lax}),
         (World, {"make_registers": Deaf}),
         (World, {"make_registers": Minority}),
     ],
@@ -100,9 +110,9 @@
 
 
 def test_every_order_of_a_small_world() -> None:
-    """Two claimants, three holders, one try each: every order of every message, depth first.
+    """Two claimants, three replicas, one try each: every order of every message, depth first.
 
-    A loss is a message that never comes, so each prefix of an order stands for its losses. The holders'
+    A loss is a message that never comes, so each prefix of an order stands for its losses. The replicas'
     answers come at once; a claimant that meets a higher ballot goes no further.
     """
     names = ("x", "y", "z")
@@ -111,11 +121,11 @@
     transitions = 0
 
     class Small:
-        """Two claimants' and three holders' states, and the messages that are out."""
+        """Two claimants' and three replicas' states, and the messages that are out."""
 
         def __init__(self) -> None:
-            self.holders = {name: Holder(LONGEST, LEEWAY) for name in names}
-            self.registers = [Registers(f"c{k}", 1) for k in range(2)]
+            self.replicas = {name: Replica(LONGEST, LEEWAY) for name in names}
+            self.registers = [Proposer(f"c{k}", 1) for k in range(2)]
             self.pending: dict[tuple[int, str, str], rg.Send] = {}
             self.decided: frozenset[str] = frozenset()
             for k, registers in enumerate(self.registers):
@@ -131,36 +141,44 @@
 
         def copy(self) -> Small:
             made = Small.__new__(Small)
-            made.holders = {name: replace(h, records=dict(h.records)) for name, h in self.holders.items()}
+            made.replicas = {name: replace(h, records=dict(h.records)) for name, h in self.replicas.items()}
             made.registers = [copy.copy(registers) for registers in self.registers]
             for registers in made.registers:
-                registers._asks = dict(registers._asks)
+                registers._pending = dict(registers._pending)
                 registers._changes = {
-                    number: replace(c, promises=dict(c.promises), took=set(c.took), failed=set(c.failed))
+                    number: replace(
+                        c, promises=dict(c.promises), accepted_by=set(c.accepted_by), failed=set(c.failed)
+                    )
                     for number, c in registers._changes.items()
                 }
             made.pending, made.decided = dict(self.pending), self.decided
             return made
 
         def mark(self) -> tuple[object, ...]:
-            held = tuple(tuple(h.records.values()) for h in self.holders.values())
+            held = tuple(tuple(h.records.values()) for h in self.replicas.values())
             changes = tuple(
-                (c.state, c.ballot, frozenset(c.promises.values()), frozenset(c.took | c.failed), c.value)
+                (
+                    c.state,
+                    c.ballot,
+                    frozenset(c.promises.values()),
+                    frozenset(c.accepted_by | c.failed),
+                    c.value,
+                )
                 for registers in self.registers
                 for c in registers._changes.values()
             )
-            asks = tuple(frozenset(registers._asks) for registers in self.registers)
+            asks = tuple(frozenset(registers._pending) for registers in self.registers)
             return held, changes, asks, frozenset(self.pending), self.decided
 
         def deliver(self, key: tuple[int, str, str]) -> None:
             send, registers = self.pending.pop(key), self.registers[key[0]]
-            holder = self.holders[send.to]
-            actions = holder.handle(NOW, rp.Asked(1, send.message))
+            replica = self.replicas[send.to]
+            actions = replica.handle(NOW, rp.RequestReceived(1, send.message))
             if isinstance(actions[0], rp.Store):
-                actions = holder.handle(NOW, rp.Stored(1))
+                actions = replica.handle(NOW, rp.Stored(1))
             [reply] = actions
             assert isinstance(reply, rp.Reply)
-            self.does(key[0], registers.handle(NOW, rg.Answered(send.ask, reply.message)))
+            self.does(key[0], registers.handle(NOW, rg.ResponseReceived(send.request_id, reply.message)))
 
     stack = [Small()]
     while stack:
@@ -174,7 +192,7 @@
                 if waited_for:
                     after.deliver(key)
                 else:
-                    nobody = rg.Unanswered(world.pending[key].ask)
+                    nobody = rg.RequestFailed(world.pending[key].request_id)
                     after.does(key[0], after.registers[key[0]].handle(1.0, nobody))
                 transitions += 1
                 mark = after.mark()
@@ -186,30 +204,30 @@
     assert set(outcomes) == {frozenset(), frozenset({"c0"}), frozenset({"c1"})}
 
 
-# ---- One holder -------------------------------------------------------------------------------------------
-def holder(**made: object) -> Holder:
-    return Holder(LONGEST, LEEWAY, **made)  # type: ignore[arg-type]
+# ---- One replica -------------------------------------------------------------------------------------------
+def replica(**made: object) -> Replica:
+    return Replica(LONGEST, LEEWAY, **made)  # type: ignore[arg-type]
 
 
-def test_a_holder_answers_only_what_lasts_and_nothing_where_the_disk_failed() -> None:
-    made = holder()
+def test_a_replica_answers_only_what_lasts_and_nothing_where_the_disk_failed() -> None:
+    made = replica()
     ask = Prepare(KEY, Ballot(1, "a"), EXPIRES)
-    [store] = made.handle(NOW, rp.Asked(1, ask))
+    [store] = made.handle(NOW, rp.RequestReceived(1, ask))
     assert isinstance(store, rp.Store) and store.record.promised == ask.ballot
     assert made.handle(NOW, rp.Stored(1)) == [rp.Reply(1, Promise(KEY, ask.ballot))]
-    made.handle(NOW, rp.Asked(2, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
+    made.handle(NOW, rp.RequestReceived(2, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
     assert made.handle(NOW, rp.StoreFailed(2)) == [] == made.handle(NOW, rp.Stored(2))
-    [late] = made.handle(NOW, rp.Asked(3, Prepare(KEY, Ballot(0, "z"), EXPIRES)))
+    [late] = made.handle(NOW, rp.RequestReceived(3, Prepare(KEY, Ballot(0, "z"), EXPIRES)))
     assert late == rp.Reply(3, Reject(KEY, Ballot(0, "z"), Ballot(1, "a")))
 
 
 def test_a_lost_disk_vouches_only_for_what_it_can_never_have_held() -> None:
-    made = holder(lost_at=NOW)
+    made = replica(disk_lost_at=NOW)
     old = Prepare(KEY, Ballot(1, "a"), NOW + LONGEST)
-    assert made.handle(NOW, rp.Asked(1, old)) == [rp.Reply(1, Reject(KEY, old.ballot))]
+    assert made.handle(NOW, rp.RequestReceived(1, old)) == [rp.Reply(1, Reject(KEY, old.ballot))]
     later = NOW + 2 * LEEWAY
     young = Prepare(KEY, Ballot(1, "a"), NOW + LONGEST + LEEWAY + 1)
-    assert isinstance(made.handle(later, rp.Asked(2, young))[0], rp.Store)
+    assert isinstance(made.handle(later, rp.RequestReceived(2, young))[0], rp.Store)
 
 
 def test_one_lost_disk_costs_refusals_and_never_a_second_claim() -> None:
@@ -231,12 +249,12 @@
 
 
 def test_without_that_guard_a_lost_disk_is_a_second_claim() -> None:
-    class Sure(Holder):
-        def _vouches(self, now, message, known):  # type: ignore[no-untyped-def]
+    class Sure(Replica):
+        def _can_answer(self, now, message, known):  # type: ignore[no-untyped-def]
             return True
 
-    def doubled(seed: int, make: type[Holder]) -> bool:
-        world = World(seed, 2, make_holder=make, loss=0.0)
+    def doubled(seed: int, make: type[Replica]) -> bool:
+        world = World(seed, 2, make_replica=make, loss=0.0)
         world.want(0, "c0")
         while not world.told and world.step():
             pass
@@ -248,7 +266,7 @@
         return len(world.decided()) > 1
 
     assert any(doubled(seed, Sure) for seed in range(50))
-    assert not any(doubled(seed, Holder) for seed in range(50))
+    assert not any(doubled(seed, Replica) for seed in range(50))
 
 
 @pytest.mark.parametrize(
@@ -262,122 +280,132 @@
     ],
 )
 def test_keys_past_their_end_or_too_long_are_not_vouched_for(now: int, expires: int, vouched: bool) -> None:
-    [action] = holder().handle(now, rp.Asked(1, Prepare(KEY, Ballot(1, "a"), expires)))
+    [action] = replica().handle(now, rp.RequestReceived(1, Prepare(KEY, Ballot(1, "a"), expires)))
     assert isinstance(action, rp.Store) == vouched
 
 
 def test_what_ended_is_forgotten_and_cannot_come_back() -> None:
-    made = holder()
-    made.handle(NOW, rp.Asked(1, Accept(KEY, Ballot(1, "a"), NOW + 10, "v")))
+    made = replica()
+    made.handle(NOW, rp.RequestReceived(1, Accept(KEY, Ballot(1, "a"), NOW + 10, "v")))
     made.handle(NOW, rp.Stored(1))
     assert made.records
     later = NOW + 10 + 2 * LEEWAY + 1
-    [answer] = made.handle(later, rp.Asked(2, Prepare(KEY, Ballot(9, "b"), NOW + 10)))
+    [answer] = made.handle(later, rp.RequestReceived(2, Prepare(KEY, Ballot(9, "b"), NOW + 10)))
     assert not made.records and answer == rp.Reply(2, Reject(KEY, Ballot(9, "b")))
 
 
 def test_a_key_with_another_end_is_not_the_key_that_is_known() -> None:
-    made = holder()
-    made.handle(NOW, rp.Asked(1, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
-    [answer] = made.handle(NOW, rp.Asked(2, Prepare(KEY, Ballot(2, "b"), EXPIRES + 1)))
+    made = replica()
+    made.handle(NOW, rp.RequestReceived(1, Accept(KEY, Ballot(1, "a"), EXPIRES, "v")))
+    [answer] = made.handle(NOW, rp.RequestReceived(2, Prepare(KEY, Ballot(2, "b"), EXPIRES + 1)))
     assert answer == rp.Reply(2, Reject(KEY, Ballot(2, "b")))
 
 
 # ---- One claimant -----------------------------------------------------------------------------------------
-def claim(registers: Registers, **more: object) -> list[rg.Send]:
+def claim(registers: Proposer, **more: object) -> list[rg.Send]:
     change = rg.Change(1, KEY, ("x", "y", "z"), "mine", EXPIRES, 500.0, **more)  # type: ignore[arg-type]
     return [a for a in registers.handle(0.0, change) if isinstance(a, rg.Send)]
 
 
-def test_without_two_holders_a_claim_is_unreached_at_once_and_at_its_deadline() -> None:
-    registers = Registers("c", 1)
+def test_without_two_replicas_a_claim_is_unreached_at_once_and_at_its_deadline() -> None:
+    registers = Proposer("c", 1)
     asks = claim(registers)
-    assert registers.handle(1.0, rg.Unanswered(asks[0].ask)) == []
-    assert registers.handle(1.0, rg.Unanswered(asks[1].ask)) == [rg.Unreached(1)]
+    assert registers.handle(1.0, rg.RequestFailed(asks[0].request_id)) == []
+    assert registers.handle(1.0, rg.RequestFailed(asks[1].request_id)) == [rg.NoQuorum(1)]
     assert not registers and registers.handle(1.0, rg.DeadlineDue(1)) == []
     claim(registers)
-    assert registers.handle(501.0, rg.DeadlineDue(1)) == [rg.Unreached(1)]
+    assert registers.handle(501.0, rg.DeadlineDue(1)) == [rg.NoQuorum(1)]
 
 
 def test_what_another_holds_is_written_again_and_told() -> None:
-    registers = Registers("c", 1)
+    registers = Proposer("c", 1)
     asks = claim(registers)
     ballot = asks[0].message.ballot
-    registers.handle(1.0, rg.Answered(asks[0].ask, Promise(KEY, ballot, Ballot(0, "o"), "other")))
-    writes = registers.handle(1.0, rg.Answered(asks[1].ask, Promise(KEY, ballot)))
+    registers.handle(
+        1.0, rg.ResponseReceived(asks[0].request_id, Promise(KEY, ballot, Ballot(0, "o"), "other"))
+    )
+    writes = registers.handle(1.0, rg.ResponseReceived(asks[1].request_id, Promise(KEY, ballot)))
     again = Accept(KEY, ballot, EXPIRES, "other")
     assert [w.message for w in writes if isinstance(w, rg.Send)] == [again] * 3
     sends = [w for w in writes if isinstance(w, rg.Send)]
-    assert registers.handle(1.0, rg.Answered(sends[0].ask, Taken(KEY, ballot))) == []
-    assert registers.handle(1.0, rg.Answered(sends[0].ask, Taken(KEY, ballot))) == []  # the same one twice
-    assert registers.handle(1.0, rg.Answered(sends[2].ask, Taken(KEY, ballot))) == [rg.Decided(1, "other")]
+    assert registers.handle(1.0, rg.ResponseReceived(sends[0].request_id, Accepted(KEY, ballot))) == []
+    assert (
+        registers.handle(1.0, rg.ResponseReceived(sends[0].request_id, Accepted(KEY, ballot))) == []
+    )  # the same one twice
+    assert registers.handle(1.0, rg.ResponseReceived(sends[2].request_id, Accepted(KEY, ballot))) == [
+        rg.Decided(1, "other")
+    ]
 
 
 def test_a_value_is_replaced_only_where_it_is_the_expected_one() -> None:
     for held, expected, written in (("a", "a", "mine"), ("b", "a", "b"), ("b", None, "b")):
-        registers = Registers("c", 1)
+        registers = Proposer("c", 1)
         asks = claim(registers, expected=expected)
         ballot = asks[0].message.ballot
         promise = Promise(KEY, ballot, Ballot(0, "o"), held)
-        registers.handle(1.0, rg.Answered(asks[0].ask, promise))
-        writes = registers.handle(1.0, rg.Answered(asks[2].ask, promise))
+        registers.handle(1.0, rg.ResponseReceived(asks[0].request_id, promise))
+        writes = registers.handle(1.0, rg.ResponseReceived(asks[2].request_id, promise))
         assert {w.message.value for w in writes if isinstance(w, rg.Send)} == {written}  # type: ignore[union-attr]
 
 
 def test_two_that_meet_wait_apart_and_one_of_them_wins_soon() -> None:
     """Against each other for good they would both run out of time: the waits differ by the seed and grow."""
-    registers = Registers("c", 1)
+    registers = Proposer("c", 1)
     asks = claim(registers)
     seen = Ballot(7, "o")
-    [again] = registers.handle(1.0, rg.Answered(asks[0].ask, Reject(KEY, asks[0].message.ballot, seen)))
-    assert isinstance(again, rg.StartTimer) and rg.AGAIN_MS / 2 <= again.delay_ms <= rg.AGAIN_MOST_MS
+    [again] = registers.handle(
+        1.0, rg.ResponseReceived(asks[0].request_id, Reject(KEY, asks[0].message.ballot, seen))
+    )
+    assert isinstance(again, rg.StartTimer) and rg.RETRY_MIN_MS / 2 <= again.delay_ms <= rg.RETRY_MAX_MS
     next_asks = registers.handle(30.0, again.event)
     assert all(a.message.ballot > seen for a in next_asks if isinstance(a, rg.Send))
-    assert len(registers._asks) == 2 + 3  # of the turn before, two may still be answered; nobody listens
+    assert len(registers._pending) == 2 + 3  # of the turn before, two may still be answered; nobody listens
 
 
 def test_claims_at_once_are_bounded() -> None:
-    registers = Registers("c", 1)
+    registers = Proposer("c", 1)
     change = rg.Change(0, KEY, ("x",), "v", EXPIRES, 500.0)
-    for number in range(rg.MOST_CHANGES):
+    for number in range(rg.MAX_CHANGES):
         registers.handle(0.0, rg.Change(number, KEY, ("x",), "v", EXPIRES, 500.0))
-    assert registers.handle(0.0, rg.Change(-1, KEY, ("x",), "v", EXPIRES, 500.0)) == [rg.Unreached(-1)]
-    assert registers.handle(0.0, change) == [rg.Unreached(0)]  # a number in use
+    assert registers.handle(0.0, rg.Change(-1, KEY, ("x",), "v", EXPIRES, 500.0)) == [rg.NoQuorum(-1)]
+    assert registers.handle(0.0, change) == [rg.NoQuorum(0)]  # a number in use
 
 
 # ---- Who holds --------------------------------------------------------------------------------------------
-def test_holders_are_the_same_everywhere_even_and_move_little() -> None:
+def test_replicas_are_the_same_everywhere_even_and_move_little() -> None:
     names = [f"d{k}" for k in range(9)]
     held: Counter[str] = Counter()
     for k in range(3000):
-        three = holders_of(f"t{k}", names)
-        assert three == holders_of(f"t{k}", reversed(names)) and len(set(three)) == 3
+        three = replicas_of(f"t{k}", names)
+        assert three == replicas_of(f"t{k}", reversed(names)) and len(set(three)) == 3
         held.update(three)
-        fewer = holders_of(f"t{k}", names[:-1])
+        fewer = replicas_of(f"t{k}", names[:-1])
         assert "d8" in three or fewer == three
     assert all(800 < held[name] < 1200 for name in names)
-    assert holders_of("token-1", names) == ("d8", "d4", "d5")  # a place that must not move between versions
-    assert holders_of("x", ["a", "b"]) in (("a", "b"), ("b", "a"))
+    assert replicas_of("token-1", names) == ("d8", "d4", "d5")  # a place that must not move between versions
+    assert replicas_of("x", ["a", "b"]) in (("a", "b"), ("b", "a"))
 
 
-@pytest.mark.parametrize("bound", ["MOST_KEYS", "MOST_WAITING"])
-def test_a_holder_s_tables_are_bounded_and_what_is_over_is_not_vouched_for(
+@pytest.mark.parametrize("bound", ["MAX_KEYS", "MAX_WAITING"])
+def test_a_replica_s_tables_are_bounded_and_what_is_over_is_not_vouched_for(
     bound: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rp, bound, 2)
-    made = holder()
+    made = replica()
     ballot = Ballot(1, "a")
-    asked = [made.handle(NOW, rp.Asked(k, Prepare(f"k{k}", ballot, EXPIRES))) for k in range(3)]
+    asked = [made.handle(NOW, rp.RequestReceived(k, Prepare(f"k{k}", ballot, EXPIRES))) for k in range(3)]
     assert [isinstance(actions[0], rp.Store) for actions in asked] == [True, True, False]
     assert asked[2] == [rp.Reply(2, Reject("k2", ballot))]
-    if bound == "MOST_WAITING":  # once the disk has caught up it vouches again
+    if bound == "MAX_WAITING":  # once the disk has caught up it vouches again
         made.handle(NOW, rp.Stored(0))
-        assert isinstance(made.handle(NOW, rp.Asked(3, Prepare("k2", ballot, EXPIRES)))[0], rp.Store)
+        assert isinstance(
+            made.handle(NOW, rp.RequestReceived(3, Prepare("k2", ballot, EXPIRES)))[0], rp.Store
+        )
 
 
 # ---- Another number of directors --------------------------------------------------------------------------
 class Changing(World):
-    """Three holders before, three after, one of them the same; claimants know one, the other or both."""
+    """Three replicas before, three after, one of them the same; claimants know one, the other or both."""
 
     knows: tuple[str, str] = ("old", "both")
 
@@ -385,24 +413,24 @@
         super().__post_init__()
         self.names = tuple(f"h{k}" for k in range(5))
         self.disks = {name: Disk() for name in self.names}
-        self.holders = {name: self._holder(name) for name in self.names}
+        self.replicas = {name: self._replica(name) for name in self.names}
 
     def want(self, k: int, value: str, expected: str | None = None) -> None:
         self.numbers += 1
         old, new = self.names[:3], self.names[2:]
-        holders, former = {"old": (old, ()), "new": (new, ()), "both": (new, old)}[self.knows[k]]
-        change = rg.Change(self.numbers, self.key, holders, value, EXPIRES, 1000.0, expected, former)
+        replicas, former = {"old": (old, ()), "new": (new, ()), "both": (new, old)}[self.knows[k]]
+        change = rg.Change(self.numbers, self.key, replicas, value, EXPIRES, 1000.0, expected, former)
         self._do(k, self.registers[k], value, self.registers[k].handle(NOW, change))
 
 
 class FromBoth(Changing):
-    """The first claimant knows both sets of holders, the second the new one alone."""
+    """The first claimant knows both sets of replicas, the second the new one alone."""
 
     knows = ("both", "new")
 
 
 class AtOnce(Changing):
-    """The first claimant knows the old set of holders alone, the second the new one alone."""
+    """The first claimant knows the old set of replicas alone, the second the new one alone."""
 
     knows = ("old", "new")
 
@@ -417,15 +445,15 @@
     assert decided[1] > 500
 
 
-def test_without_the_former_holders_both_would_claim_it() -> None:
+def test_without_the_former_replicas_both_would_claim_it() -> None:
     assert any(len(play(AtOnce(seed), 250).decided()) > 1 for seed in range(200))
 
 
-def test_a_token_s_holder_takes_no_value_longer_than_its_own_bound() -> None:
+def test_a_token_s_replica_takes_no_value_longer_than_its_own_bound() -> None:
     """Other registers may hold more: the bound of the messages is theirs."""
     ballot = Ballot(1, "a")
-    made = Holder(10_000, 0)
+    made = Replica(10_000, 0)
     for length, is_taken in ((rp.MAX_VALUE_CHARS, True), (rp.MAX_VALUE_CHARS + 1, False)):
         key = f"t/{length}"
-        actions = made.handle(0.0, rp.Asked(1, Accept(key, ballot, 5000, "x" * length)))
+        actions = made.handle(0.0, rp.RequestReceived(1, Accept(key, ballot, 5000, "x" * length)))
         assert [type(action) for action in actions] == [rp.Store if is_taken else rp.Reply]
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -10,7 +10,7 @@
 import platform_world
 import pytest
 
-from foxlift.consensus import Registers, rendezvous
+from foxlift.consensus import Proposer, rendezvous
 from foxlift.peers import State
 from foxlift.platform import settings
 from foxlift.platform.stop import State as StopState
@@ -43,7 +43,7 @@
     draw = random.Random(seed)
     names = [f"n{number}" for number in range(draw.randrange(1, 30))]
     key = f"key {seed}"
-    first = rendezvous.holders_of(key, names, 1)[0]
+    first = rendezvous.replicas_of(key, names, 1)[0]
     assert [name for name in names if rendezvous.is_first(key, name, names)] == [first]
 
 
@@ -111,7 +111,7 @@
 
 
 def test_an_old_plan_sorts_no_names_until_it_is_told_again() -> None:
-    follower = common.Common("a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Registers("a", 1), seed=1)
+    follower = common.Common("a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Proposer("a", 1), seed=1)
     follower.handle(0.0, common.There(CountedNames("abcdefgh")))
     follower.handle(0.0, common.Told(Plan(1), 0.0))
     for _ in range(100):
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize(("name", "judged"), [("m1", 1), ("m2", 0)])
 def test_only_the_maker_that_proposes_judges(name: str, judged: int) -> None:
     evidence = CountedEvidence(("z",))
-    maker = common.Common(name, ("m1", "m2"), Planner({"z": "r"}), evidence, Registers(name, 1), seed=1)
+    maker = common.Common(name, ("m1", "m2"), Planner({"z": "r"}), evidence, Proposer(name, 1), seed=1)
     maker.handle(0.0, common.There(frozenset({"m1", "m2"})))
     CountedEvidence.judged = 0
     maker.handle(0.0, common.Due())
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foxlift.consensus.messages import Accept, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject
 from foxlift.rollout import acceptor, agent, hub, watcher
 from foxlift.rollout.acceptor import Acceptor, key_of, version_of
 from foxlift.rollout.agent import Agent, Problem
@@ -447,7 +447,7 @@
 # ---- An acceptor ------------------------------------------------------------------------------------------
 def told(made: Acceptor, number: int, message: Prepare | Accept) -> object:
     """The answer to a message once the disk has it."""
-    (action,) = made.handle(acceptor.Asked(number, message))
+    (action,) = made.handle(acceptor.RequestReceived(number, message))
     if isinstance(action, acceptor.Store):
         (action,) = made.handle(acceptor.Stored(number))
     assert isinstance(action, acceptor.Reply)
@@ -457,14 +457,14 @@
 def test_an_acceptor_answers_only_what_its_disk_has() -> None:
     made, low, high = Acceptor(), Ballot(1, "a"), Ballot(2, "b")
     key = key_of(1)
-    (store,) = made.handle(acceptor.Asked(1, Prepare(key, high, 0)))
+    (store,) = made.handle(acceptor.RequestReceived(1, Prepare(key, high, 0)))
     assert isinstance(store, acceptor.Store)
     assert made.handle(acceptor.Stored(1)) == [acceptor.Reply(1, Promise(key, high))]
     assert told(made, 2, Prepare(key, low, 0)) == Reject(key, low, high)
     assert told(made, 3, Accept(key, low, 0, "x")) == Reject(key, low, high)
-    assert told(made, 4, Accept(key, high, 0, "y")) == Taken(key, high)
+    assert told(made, 4, Accept(key, high, 0, "y")) == Accepted(key, high)
     assert told(made, 5, Prepare(key, Ballot(3, "a"), 0)) == Promise(key, Ballot(3, "a"), high, "y")
-    made.handle(acceptor.Asked(6, Accept(key, Ballot(4, "a"), 0, "z")))
+    made.handle(acceptor.RequestReceived(6, Accept(key, Ballot(4, "a"), 0, "z")))
     assert made.handle(acceptor.StoreFailed(6)) == [acceptor.Reply(6, None)]
     assert made.handle(acceptor.Stored(6)) == []
 
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -9,7 +9,7 @@
 
 from bench.scale.rollout_schedules import play_schedule
 from bench.scale.virtual_rollout import BAD, FATAL, RolloutWorld, judge, settle
-from foxlift.consensus.messages import Ask
+from foxlift.consensus.messages import Request
 from foxlift.rollout import acceptor, agent, hub, log, proposer
 from foxlift.rollout.acceptor import Acceptor
 from foxlift.rollout.content import Content
@@ -297,7 +297,7 @@
 def test_acceptors_that_break_their_promise_are_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     asked = Acceptor._asked
 
-    def forgets(self: Acceptor, request: int, message: Ask) -> list[acceptor.Action]:
+    def forgets(self: Acceptor, request: int, message: Request) -> list[acceptor.Action]:
         for version in [version for version in self.open if key_is(message.key, version)]:
             del self.open[version]
         return asked(self, request, message)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from zones_world import ZONES, Fleet, anything, broken
 
-from foxlift.consensus import Promise, Registers
+from foxlift.consensus import Promise, Proposer
 from foxlift.director.cluster.zone_planning import shares_of
 from foxlift.zones import common as cm
 from foxlift.zones.evidence import Evidence, Judgement, Report, Sight, Verdict
@@ -349,7 +349,7 @@
     assert numbers > SCHEDULES / 3  # and there is something to disagree on
 
 
-class Deaf(Registers):
+class Deaf(Proposer):
     """Puts its own value whatever is held."""
 
     def _write(self, number, change):  # type: ignore[no-untyped-def]
@@ -357,7 +357,7 @@
         return super()._write(number, change)
 
 
-class Alone(Registers):
+class Alone(Proposer):
     """One holder is enough for it."""
 
     def _majority(self, change, names):  # type: ignore[no-untyped-def]
--- a/tests/zones_world.py
+++ b/tests/zones_world.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.consensus import Holder, Record, Registers
+from foxlift.consensus import Proposer, Record, Replica
 from foxlift.consensus import register as rg
 from foxlift.consensus import replica as rp
 from foxlift.zones import common as cm
@@ -27,7 +27,7 @@
     zones: dict[str, str] = field(default_factory=lambda: dict(ZONES))
     makers_in: tuple[str, ...] = ("n1", "n2", "s1", "s2", "w1")
     loss: float = 0.02
-    make_registers: type[Registers] = Registers
+    make_registers: type[Proposer] = Proposer
     make_common: type[cm.Common] = cm.Common
     now: float = 0.0
     dead_zones: set[str] = field(default_factory=set)
@@ -46,7 +46,7 @@
         self.names = list(self.zone_of)
         self.makers = tuple(f"{zone}-0" for zone in self.makers_in)
         self.disks: dict[str, dict[str, Record]] = {maker: {} for maker in self.makers}
-        self.holders: dict[str, Holder] = {}
+        self.replicas: dict[str, Replica] = {}
         self.runs = dict.fromkeys(self.names, 0)
         self.members: dict[str, cm.Common] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -62,7 +62,7 @@
         made = self.make_common(name, self.makers, planner, evidence, registers, self.seed)
         self.members[name] = made
         if name in self.makers:
-            self.holders[name] = Holder(cm.LASTS_MS, 1000, 0, dict(self.disks[name]))
+            self.replicas[name] = Replica(cm.LASTS_MS, 1000, 0, dict(self.disks[name]))
         self.followed[name] = Plan()
         self.do(name, made, made.start(self.now))
         self.report(name, made)
@@ -122,27 +122,27 @@
                     self.later(delay, lambda e=inner: self.tell(name, member, e))  # type: ignore[misc]
 
     def asked(self, name: str, member: cm.Common, send: rg.Send) -> None:
-        holder = self.holders[send.to]
+        replica = self.replicas[send.to]
         self._order += 1
-        for action in holder.handle(self.now, rp.Asked(self._order, send.message)):
-            self.holder_does(name, member, send, holder, action)
+        for action in replica.handle(self.now, rp.RequestReceived(self._order, send.message)):
+            self.replica_does(name, member, send, replica, action)
 
-    def holder_does(
-        self, name: str, member: cm.Common, send: rg.Send, holder: Holder, action: rp.Action
+    def replica_does(
+        self, name: str, member: cm.Common, send: rg.Send, replica: Replica, action: rp.Action
     ) -> None:
         match action:
             case rp.Store(request, record):
 
                 def lasts() -> None:
-                    if self.holders[send.to] is not holder or send.to not in self.up:
+                    if self.replicas[send.to] is not replica or send.to not in self.up:
                         return
                     self.disks[send.to][record.key] = record
-                    for more in holder.handle(self.now, rp.Stored(request)):
-                        self.holder_does(name, member, send, holder, more)
+                    for more in replica.handle(self.now, rp.Stored(request)):
+                        self.replica_does(name, member, send, replica, more)
 
                 self.later(2.0, lasts)
             case rp.Reply(_, message):
-                event = cm.OfRegister(rg.Answered(send.ask, message))
+                event = cm.OfRegister(rg.ResponseReceived(send.request_id, message))
                 self.send(send.to, name, lambda: self.tell(name, member, event))
 
     # ---- What directors see -------------------------------------------------------------------------------
