--- a/bench/peers.py
+++ b/bench/peers.py
@@ -14,7 +14,7 @@
 
 from peers_world import Fleet
 
-from foxlift.peers import State
+from foxlift.peers import PeerState
 
 
 def busiest(fleet: Fleet, ms: float) -> tuple[float, float]:
@@ -37,9 +37,9 @@
         fleet.kill(*dead)
         begin = fleet.now
         rough = busiest(fleet, 10_000)
-        fleet.run(60_000, lambda f=fleet, d=dead[0]: f.all_believe(d, State.DEAD))  # type: ignore[misc]
+        fleet.run(60_000, lambda f=fleet, d=dead[0]: f.all_believe(d, PeerState.DEAD))  # type: ignore[misc]
         took = (fleet.now - begin) / 1000
-        known = f"{took:.1f}" if fleet.all_believe(dead[0], State.DEAD) else f"over {took:.0f}"
+        known = f"{took:.1f}" if fleet.all_believe(dead[0], PeerState.DEAD) else f"over {took:.0f}"
         print(f"| {size} | {quiet[0]:.1f}, {quiet[1]:.0f} | {rough[0]:.1f}, {rough[1]:.0f} | {known} |")
 
 
--- a/bench/scale/beside_daemons.py
+++ b/bench/scale/beside_daemons.py
@@ -33,7 +33,7 @@
 from bench.scale.hollow import HollowDirector
 from bench.scale.relay import CountingRelay, TrafficCount
 from foxlift.config import DirectorConfig, bind, read_forms
-from foxlift.peers import State
+from foxlift.peers import PeerState
 from foxlift.rehearsal.processes import Child
 from foxlift.standins.fleet import BoxPlan, Fleet, FleetPlan
 from foxlift.zones.evidence import Sight
@@ -184,7 +184,7 @@
             while not true():
                 await asyncio.sleep(0.05)
 
-    def all_hollow_believe(self, names: Sequence[str], state: State) -> bool:
+    def all_hollow_believe(self, names: Sequence[str], state: PeerState) -> bool:
         """Whether every living hollow director believes this of all of them."""
         living = [director for name, director in self.hollow.items() if name not in self.killed]
         return all(
@@ -264,7 +264,7 @@
     try:
         await fleet.start()
         everyone = fleet.daemon_names + fleet.hollow_names
-        await fleet.until(lambda: fleet.all_hollow_believe(everyone, State.ALIVE), 60.0)
+        await fleet.until(lambda: fleet.all_hollow_believe(everyone, PeerState.ALIVE), 60.0)
         await asyncio.sleep(plan.settle_s)
         pids = [child.process.pid for child in fleet.daemons.values() if child.process is not None]
         before = [process_usage(pid) for pid in pids]
@@ -272,7 +272,7 @@
         after = [process_usage(pid) for pid in pids]
         victims = await fleet.kill_one_of_each()
         comparisons += await fleet.measure(plan.change_s, "two die")
-        known = fleet.all_hollow_believe(victims, State.DEAD)
+        known = fleet.all_hollow_believe(victims, PeerState.DEAD)
     finally:
         await fleet.stop()
     processor = [(b[0] - a[0]) / plan.quiet_s for a, b in zip(before, after, strict=True)]
--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -14,7 +14,7 @@
 from foxlift.membership import BoxEntry, BoxList, CacheList, Changes, ListAnswer, ListWatch, PollDue
 from foxlift.membership.boxlist import encode_full, read_response
 from foxlift.peers import view
-from foxlift.peers.messages import MOST_UPDATES, Ping, State, Update
+from foxlift.peers.messages import MAX_UPDATES, PeerState, Ping, Update
 from foxlift.platform import feed
 from foxlift.recovery import takeover
 from foxlift.zones import common
@@ -48,23 +48,23 @@
     """A view that has just heard of everybody: each peer's first word is news to be told on."""
     names = director_names(directors)
     member = view.Peers(names[0], PEER_RUN, names, seed=1)
-    for begin in range(1, directors, MOST_UPDATES):
-        told = names[begin : begin + MOST_UPDATES]
-        updates = tuple(Update(name, State.ALIVE, PEER_RUN, 0) for name in told)
-        member.handle(0.0, view.Asked(begin, Ping(told[0], PEER_RUN, updates)))
+    for begin in range(1, directors, MAX_UPDATES):
+        told = names[begin : begin + MAX_UPDATES]
+        updates = tuple(Update(name, PeerState.ALIVE, PEER_RUN, 0) for name in told)
+        member.handle(0.0, view.RequestReceived(begin, Ping(told[0], PEER_RUN, updates)))
     return member
 
 
 def _answer_with_news(directors: int) -> Sample:
     member = _view_with_news(directors)
-    question = view.Asked(1, Ping(director_names(directors)[1], PEER_RUN))
+    question = view.RequestReceived(1, Ping(director_names(directors)[1], PEER_RUN))
     return processor_ms(lambda: member.handle(0.0, question))
 
 
 def _probe_choice(directors: int) -> Sample:
     member = _view_with_news(directors)
-    member._news.clear()  # long after the start: what is left is the choice of whom to probe
-    due = view.TimerDue(view.Period())
+    member._gossip.clear()  # long after the start: what is left is the choice of whom to probe
+    due = view.TimerDue(view.NextProbe())
     return processor_ms(lambda: member.handle(0.0, due), rounds=31)
 
 
@@ -83,7 +83,7 @@
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
     there = tuple(names[: len(names) - dead])
     for name in names[len(names) - dead :]:
-        machine.handle(0.0, takeover.Seen(name, State.DEAD, PEER_RUN, there))
+        machine.handle(0.0, takeover.Seen(name, PeerState.DEAD, PEER_RUN, there))
     machine.handle(0.0, takeover.Listed(server_names(servers)))
     return machine
 
@@ -91,7 +91,7 @@
 def _plan_after_a_change(names: list[str], servers: int, dead: int) -> Sample:
     machine = _takeovers(names, servers, dead)
     there = tuple(names[: len(names) - dead])
-    seen = takeover.Seen(names[1], State.ALIVE, PEER_RUN + 1, there)
+    seen = takeover.Seen(names[1], PeerState.ALIVE, PEER_RUN + 1, there)
     return processor_ms(lambda: machine.handle(0.0, seen), rounds=3)
 
 
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -328,7 +328,7 @@
     Finding(
         Kind.WORK,
         "foxlift/peers/view.py",
-        "`_next`",
+        "`_next_target`",
         "all peers are gone over for those that are absent",
         _scan("choice of whom to probe", CONTROL, "directors"),
         DIRECTORS,
--- a/bench/scale/hollow_worker.py
+++ b/bench/scale/hollow_worker.py
@@ -25,7 +25,7 @@
 
 from bench.scale.beside_daemons import process_usage
 from bench.scale.hollow import DirectorAddress, FleetPlan, HollowDirector, hollow_settings, load_of_zones
-from foxlift.peers import State
+from foxlift.peers import PeerState
 
 LOOK_S = 0.05
 KNOWN_WITHIN_S = 40.0
@@ -68,7 +68,7 @@
         if command == "measure":
             return await self._measure(float(arguments[0]))
         if command == "known":
-            return await self._known(State[arguments[0]], arguments[1:])
+            return await self._known(PeerState[arguments[0]], arguments[1:])
         if command == "kill":
             await self.living.pop(arguments[0]).kill()
             return {"at": time.time()}
@@ -82,7 +82,7 @@
         used, memory = process_usage(os.getpid())
         return {"processor": (used - processor) / took, "memory": memory, "directors": len(self.living)}
 
-    async def _known(self, state: State, names: tuple[str, ...]) -> dict[str, Any]:
+    async def _known(self, state: PeerState, names: tuple[str, ...]) -> dict[str, Any]:
         end = time.monotonic() + KNOWN_WITHIN_S
         most_at = 0.0
         while True:
@@ -97,7 +97,7 @@
             await asyncio.sleep(LOOK_S)
 
     @staticmethod
-    def _believes(director: HollowDirector, state: State, names: tuple[str, ...]) -> bool:
+    def _believes(director: HollowDirector, state: PeerState, names: tuple[str, ...]) -> bool:
         view = director.cluster.membership.view
         return all(view.state(name) is state for name in names if name != director.name)
 
--- a/bench/scale/load_memory.py
+++ b/bench/scale/load_memory.py
@@ -21,7 +21,7 @@
 from bench.scale.series import Quantity, Run, SizeSeries, measure_series
 from foxlift import interface as fl
 from foxlift.decide import claims
-from foxlift.peers import Asked, Peers
+from foxlift.peers import Peers, RequestReceived
 from foxlift.peers.messages import Ping
 from foxlift.platform import events as ev
 from foxlift.platform import server_pool
@@ -76,7 +76,7 @@
     names = [f"director-{index:05d}" for index in range(count + 1)]
     view = Peers(names[0], 1, names, 1)
     for request, name in enumerate(names[1:]):
-        view.handle(float(request), Asked(request, Ping(name, 1, ())))
+        view.handle(float(request), RequestReceived(request, Ping(name, 1, ())))
     return view
 
 
--- a/bench/scale/membership.py
+++ b/bench/scale/membership.py
@@ -103,7 +103,7 @@
 
 
 def first_beliefs(
-    fleet: VirtualFleet, names: Sequence[str], state: pr.State, run: int
+    fleet: VirtualFleet, names: Sequence[str], state: pr.PeerState, run: int
 ) -> list[dict[str, float]]:
     """Watch when members come to believe this of each of them."""
     return [fleet.beliefs.watch(name, state, run) for name in names]
@@ -141,7 +141,7 @@
     """A few directors die, one after the other."""
     fleet = settled(size, seed)
     victims = drawn(fleet, seed, VICTIMS)
-    known = first_beliefs(fleet, victims, pr.State.DEAD, 1)
+    known = first_beliefs(fleet, victims, pr.PeerState.DEAD, 1)
     begun = []
     for victim in victims:
         begun.append(fleet.now)
@@ -160,7 +160,7 @@
     victims = drawn(fleet, seed, VICTIMS)
     runs = {name: fleet.leave(name) for name in victims}
     fleet.run(2 * SETTLE_MS)
-    known = first_beliefs(fleet, victims, pr.State.ALIVE, 2)
+    known = first_beliefs(fleet, victims, pr.PeerState.ALIVE, 2)
     learned = [fleet.beliefs.watch_member(name) for name in victims]
     begun = []
     for victim in victims:
@@ -193,7 +193,7 @@
     fleet = settled(size, seed)
     victims = [name for name in fleet.names[1::groups] if name not in fleet.timed]
     watched = victims[:: math.ceil(len(victims) / MAX_WATCHED)]
-    known = first_beliefs(fleet, watched, pr.State.DEAD, 1)
+    known = first_beliefs(fleet, watched, pr.PeerState.DEAD, 1)
     begin = fleet.now
     fleet.kill(*victims)
     among = set(fleet.living())
@@ -228,8 +228,8 @@
         before = tracemalloc.get_traced_memory()[0]
         view = pr.Peers("d0", 1, names, seed)
         for peer in view.peers.values():
-            peer.state, peer.run = pr.State.ALIVE, 1
-        view._next()  # the order of a round is held too
+            peer.state, peer.boot_epoch = pr.PeerState.ALIVE, 1
+        view._next_target()  # the order of a round is held too
         after = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
--- a/bench/scale/shared_view.py
+++ b/bench/scale/shared_view.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from foxlift.peers import Peers, State, Update
-from foxlift.peers.view import ABSENT_EVERY, PERIOD_MS, _Peer
+from foxlift.peers import Peers, PeerState, Update
+from foxlift.peers.view import ABSENT_PROBE_INTERVAL, PERIOD_MS, _Peer
 
 
 @dataclass(frozen=True)
@@ -26,12 +26,12 @@
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "position", {name: index for index, name in enumerate(self.peers)})
-        object.__setattr__(self, "all_there", all(peer.there for peer in self.peers.values()))
+        object.__setattr__(self, "all_there", all(peer.reachable for peer in self.peers.values()))
 
 
-def base_table(names: Iterable[str], state: State) -> BaseTable:
+def base_table(names: Iterable[str], state: PeerState) -> BaseTable:
     """Every name in one state: ALIVE in its first run, or UNKNOWN."""
-    run = 0 if state is State.UNKNOWN else 1
+    run = 0 if state is PeerState.UNKNOWN else 1
     return BaseTable({name: _Peer(name, state, run) for name in sorted(names)})
 
 
@@ -49,13 +49,13 @@
         """Copy an entry that is about to be changed."""
         if name not in self.changed and name in self:
             shared = self._base.peers[name]
-            self.changed[name] = _Peer(name, shared.state, shared.run, shared.incarnation)
+            self.changed[name] = _Peer(name, shared.state, shared.boot_epoch, shared.incarnation)
 
     def absent(self) -> list[str]:
         """Names of peers that are not there, in the table's order."""
         if not self._base.all_there:
-            return [name for name, peer in self.items() if not peer.there]
-        names = [name for name, peer in self.changed.items() if not peer.there]
+            return [name for name, peer in self.items() if not peer.reachable]
+        names = [name for name, peer in self.changed.items() if not peer.reachable]
         names.sort(key=self._base.position.__getitem__)
         return names
 
@@ -99,20 +99,20 @@
 
     def _learn(self, update: Update) -> None:
         peer = self.table.get(update.name)
-        if peer is not None and update.rank > (peer.run, peer.incarnation, peer.state):
+        if peer is not None and update.rank > (peer.boot_epoch, peer.incarnation, peer.state):
             self.table.make_private(update.name)
-        super()._learn(update)
+        super()._apply(update)
 
     def _next(self) -> str | None:
         """As the program's, but the whole table is gone through once a round and not at every probe."""
         absent = self.table.absent()
-        self._turn += 1
-        if absent and (self._turn % ABSENT_EVERY == 0 or len(absent) == len(self.table)):
+        self._probe_count += 1
+        if absent and (self._probe_count % ABSENT_PROBE_INTERVAL == 0 or len(absent) == len(self.table)):
             return self._random.choice(absent)
         while self._order:
             name = self._order.pop()
-            if name in self.table and self.table[name].there:
+            if name in self.table and self.table[name].reachable:
                 return name
-        self._order = [name for name, peer in self.table.items() if peer.there]
+        self._order = [name for name, peer in self.table.items() if peer.reachable]
         self._random.shuffle(self._order)
         return self._order.pop() if self._order else None
--- a/bench/scale/virtual_fleet.py
+++ b/bench/scale/virtual_fleet.py
@@ -54,17 +54,17 @@
         return actions
 
 
-class BeliefLog(list[tuple[float, str, pr.Changed]]):
+class BeliefLog(list[tuple[float, str, pr.PeerChanged]]):
     """Takes the place of a list of all changes of belief: keeps when watched ones were first held."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.watched: dict[tuple[str, pr.State, int], dict[str, float]] = {}
+        self.watched: dict[tuple[str, pr.PeerState, int], dict[str, float]] = {}
         self.by_watched_member: dict[str, dict[str, float]] = {}
         self.wrong_deaths = 0
         self.killed: set[str] = set()
 
-    def watch(self, name: str, state: pr.State, run: int) -> dict[str, float]:
+    def watch(self, name: str, state: pr.PeerState, run: int) -> dict[str, float]:
         """From now on: by member, when it first came to believe this."""
         return self.watched.setdefault((name, state, run), {})
 
@@ -72,15 +72,15 @@
         """From now on: by peer, when this member first found it alive."""
         return self.by_watched_member.setdefault(member, {})
 
-    def append(self, change: tuple[float, str, pr.Changed]) -> None:
+    def append(self, change: tuple[float, str, pr.PeerChanged]) -> None:
         """Take in one change of a member's view."""
         at, member, changed = change
-        since = self.watched.get((changed.name, changed.state, changed.run))
+        since = self.watched.get((changed.name, changed.state, changed.boot_epoch))
         if since is not None:
             since.setdefault(member, at)
-        if changed.state is pr.State.ALIVE and member in self.by_watched_member:
+        if changed.state is pr.PeerState.ALIVE and member in self.by_watched_member:
             self.by_watched_member[member].setdefault(changed.name, at)
-        if changed.state is pr.State.DEAD and changed.name not in self.killed:
+        if changed.state is pr.PeerState.DEAD and changed.name not in self.killed:
             self.wrong_deaths += 1
 
 
@@ -115,9 +115,9 @@
         if not self.keep_messages:
             self.wire = Discarded()
         names = [f"d{k}" for k in range(self.count)]
-        first_state = pr.State.ALIVE if self.knows_itself else pr.State.UNKNOWN
+        first_state = pr.PeerState.ALIVE if self.knows_itself else pr.PeerState.UNKNOWN
         self._first: BaseTable = base_table(names, first_state)
-        self._unknown: BaseTable = base_table(names, pr.State.UNKNOWN)
+        self._unknown: BaseTable = base_table(names, pr.PeerState.UNKNOWN)
         self.timed = frozenset(names[:: max(self.count // TIMED_VIEWS, 1)][:TIMED_VIEWS])
         super().__post_init__()
         if self.knows_itself:
@@ -126,7 +126,7 @@
     def _forget_news(self) -> None:
         """In a fleet that has known itself for long nobody passes news on any more."""
         for member in self.members.values():
-            member.view._news.clear()
+            member.view._gossip.clear()
 
     def start(self, name: str, run: int) -> None:
         """A process under the name; a later run than the first knows nobody."""
@@ -140,7 +140,7 @@
         view = TimedPeers(name, run, self.names, self.seed)
         for peer_name, peer in view.peers.items():
             known = base.peers[peer_name]
-            peer.state, peer.run = known.state, known.run
+            peer.state, peer.boot_epoch = known.state, known.boot_epoch
         return view
 
     def kill(self, *names: str) -> None:
@@ -153,7 +153,7 @@
         view = self.members[name].view
         self._do(name, view.handle(self.now, peers_view.Leave()))
         self.kill(name)
-        return view.run
+        return view.boot_epoch
 
     def measure(self, span_ms: float) -> Traffic:
         """Let time pass, and tell what members that live at its end have sent and used in it."""
--- a/foxlift/consensus/register.py
+++ b/foxlift/consensus/register.py
@@ -2,7 +2,7 @@
 
     change     event                                         next       what is done
     (none)     Change                                        PREPARING  Prepare is sent to all replicas
-    PREPARING  a majority promised                           WRITING    Accept with the value found or the new one
+    PREPARING  a majority promised                           WRITING    Accept, with the found or new value
     WRITING    a majority accepted                           (none)     Decided
     PREPARING,
     WRITING    a replica has promised a higher ballot        WAITING    a random back-off begins
--- a/foxlift/director/cluster/membership.py
+++ b/foxlift/director/cluster/membership.py
@@ -11,7 +11,7 @@
 from foxlift.director.cluster.server import PeerServer
 from foxlift.http import Exchange
 from foxlift.peers import messages, view
-from foxlift.peers.messages import State
+from foxlift.peers.messages import PeerState
 
 
 class MembershipListener(Protocol):
@@ -20,7 +20,7 @@
     def peer_heard(self, name: str) -> None:
         """A message of this peer has come."""
 
-    def peer_changed(self, name: str, state: State, epoch: int) -> None:
+    def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
         """What is believed of a peer has changed."""
 
     def superseded_by(self, epoch: int) -> None:
@@ -59,16 +59,16 @@
 
     def alive(self) -> list[str]:
         """Names of those that are believed to be there, this director first."""
-        return self.view.there()
+        return self.view.reachable()
 
     def is_reachable(self, name: str) -> bool:
         """Whether a peer is believed to be there."""
-        return self.view.state(name) in (State.ALIVE, State.SUSPECTED)
+        return self.view.state(name) in (PeerState.ALIVE, PeerState.SUSPECTED)
 
     def epoch_of(self, name: str) -> int:
         """The latest boot epoch known of a peer, 0 for none."""
         peer = self.view.peers.get(name)
-        return 0 if peer is None else peer.run
+        return 0 if peer is None else peer.boot_epoch
 
     def _handle(self, event: view.Event) -> None:
         self._carry_out(self.view.handle(self._context.now(), event))
@@ -82,38 +82,38 @@
                     self._answer(number, message)
                 case view.StartTimer(delay_ms, timer):
                     self._context.later(delay_ms, partial(self._handle, view.TimerDue(timer)))
-                case view.Changed(name, state, epoch, _):
+                case view.PeerChanged(name, state, epoch, _):
                     self._context.log.info("peer", peer=name, state=state.name.lower(), run=epoch)
                     self._listener.peer_changed(name, state, epoch)
                 case view.Superseded(epoch):
                     self._listener.superseded_by(epoch)
 
     def _probe(self, send: view.Send) -> None:
-        def answered(answer: messages.Answer | None) -> None:
+        def answered(answer: messages.Response | None) -> None:
             if answer is None:
-                self._handle(view.Unanswered(send.ask))
+                self._handle(view.RequestFailed(send.request_id))
                 return
             if answer.sender == send.to:
                 self._listener.peer_heard(send.to)
-            self._handle(view.Answered(send.ask, answer))
+            self._handle(view.ResponseReceived(send.request_id, answer))
 
-        body = messages.write(send.message)
-        self._client.request(send.to, "/peers/view", body, send.within_ms, messages.read_answer, answered)
+        body = messages.encode(send.message)
+        self._client.request(send.to, "/peers/view", body, send.timeout_ms, messages.read_response, answered)
 
     def _receive(self, exchange: Exchange) -> None:
-        message = messages.read_ask(exchange.request.body)
-        if not self._server.admits(exchange, message.sender, message.run):
+        message = messages.read_request(exchange.request.body)
+        if not self._server.admits(exchange, message.sender, message.boot_epoch):
             return
         self._listener.peer_heard(message.sender)
         number = self._context.next_number()
         self._probes[number] = exchange
         exchange.on_gone = partial(self._forget, number)
-        self._handle(view.Asked(number, message))
+        self._handle(view.RequestReceived(number, message))
 
     def _forget(self, number: int) -> None:
         self._probes.pop(number, None)
 
-    def _answer(self, number: int, message: messages.Answer) -> None:
+    def _answer(self, number: int, message: messages.Response) -> None:
         exchange = self._probes.pop(number, None)
         if exchange is not None and not exchange.gone:
-            exchange.reply(200, JSON_HEADERS, messages.write(message))
+            exchange.reply(200, JSON_HEADERS, messages.encode(message))
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -35,7 +35,7 @@
 from foxlift.director.cluster.zone_planning import ZonePlanning
 from foxlift.director.timeline import Timeline
 from foxlift.http import Answer, Failure
-from foxlift.peers.messages import State
+from foxlift.peers.messages import PeerState
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
 from foxlift.zones.evidence import Sight
@@ -142,7 +142,7 @@
         """A message of this peer has come."""
         self._schedule.peer_heard(name)
 
-    def peer_changed(self, name: str, state: State, epoch: int) -> None:
+    def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
         """What is believed of a peer has changed."""
         self._schedule.peer_changed(name, state, epoch, tuple(self.membership.alive()))
 
--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -10,7 +10,7 @@
 from foxlift.director.cluster.epoch_renewal import EpochRenewal
 from foxlift.director.cluster.ports import Host
 from foxlift.http import Answer, Failure
-from foxlift.peers.messages import State
+from foxlift.peers.messages import PeerState
 from foxlift.recovery import takeover
 from foxlift.recovery.takeover import Why
 
@@ -91,7 +91,7 @@
         """A message of this peer has come."""
         self._handle(takeover.Heard(name))
 
-    def peer_changed(self, name: str, state: State, epoch: int, alive: tuple[str, ...]) -> None:
+    def peer_changed(self, name: str, state: PeerState, epoch: int, alive: tuple[str, ...]) -> None:
         """What is believed of a peer has changed; `alive`: all that are believed to be there."""
         self._handle(takeover.Seen(name, state, epoch, alive))
 
--- a/foxlift/peers/__init__.py
+++ b/foxlift/peers/__init__.py
@@ -1,51 +1,51 @@
-"""Directors that know each other: who is there, as far as one of them can tell. No I/O, no clock.
+"""Membership: which directors are alive, as far as one of them can tell. No I/O, no clock.
 
-What a view is good for: whom to ask first, whom to hand work to, when to look whether someone's work is to be
-taken over. What it is not good for: deciding that nobody else acts. Views differ between directors at any
-moment, and a cut has each half believe that the other is dead; whatever must happen once is settled
-elsewhere, by terms at the boxes and by majorities.
+A view is good for choosing whom to ask first, whom to hand work to, and when to check whether a director's
+work has to be taken over. It does not prove that nobody else acts: views differ between directors at any
+moment, and in a partition each half believes that the other is dead. Whatever must happen only once is
+settled by fencing at the boxes and by majorities.
 """
 
-from foxlift.peers.messages import Ack, Answer, Ask, Ping, PingFor, State, Update
+from foxlift.peers.messages import Ack, PeerState, Ping, PingFor, Request, Response, Update
 from foxlift.peers.view import (
     Action,
-    Answered,
-    Asked,
-    Changed,
     Event,
-    Lasting,
     Leave,
+    PeerChanged,
     Peers,
     Reconfigured,
     Reply,
+    RequestFailed,
+    RequestReceived,
+    ResponseReceived,
     Send,
     StartTimer,
     Superseded,
+    SuspicionTimeout,
     TimerDue,
-    Unanswered,
 )
 
 __all__ = [
     "Ack",
     "Action",
-    "Answer",
-    "Answered",
-    "Ask",
-    "Asked",
-    "Changed",
     "Event",
-    "Lasting",
     "Leave",
+    "PeerChanged",
+    "PeerState",
     "Peers",
     "Ping",
     "PingFor",
     "Reconfigured",
     "Reply",
+    "Request",
+    "RequestFailed",
+    "RequestReceived",
+    "Response",
+    "ResponseReceived",
     "Send",
     "StartTimer",
-    "State",
     "Superseded",
+    "SuspicionTimeout",
     "TimerDue",
-    "Unanswered",
     "Update",
 ]
--- a/foxlift/peers/messages.py
+++ b/foxlift/peers/messages.py
@@ -1,4 +1,7 @@
-"""What peers say to each other. Each message names its sender and the sender's run."""
+"""Membership messages between directors.
+
+Each names its sender and the sender's boot epoch (`run` on the wire).
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 import msgspec
 from msgspec import Meta
 
-MOST_UPDATES = 8  # in one message: it stays within one packet, whatever the fleet's size
+MAX_UPDATES = 8  # in one message: it fits in one packet for any size of the fleet
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
-class State(IntEnum):
-    """What is believed of a peer. Of the same run and incarnation the higher one holds."""
+class PeerState(IntEnum):
+    """Belief about a peer. For the same boot epoch and incarnation the higher one counts."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -24,63 +27,63 @@
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True):
-    """A belief that travels with other messages. `by`: who suspects."""
+    """A belief, sent along with other messages. `suspected_by`: who reports a suspicion."""
 
     name: Name
-    state: State
-    run: Number
+    state: PeerState
+    boot_epoch: Number
     incarnation: Number
-    by: Name = "-"
+    suspected_by: Name = "-"
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """The higher one holds, wherever and in whatever order they come."""
-        return self.run, self.incarnation, self.state
+        """Of two updates the one of higher rank counts, in whichever order they arrive."""
+        return self.boot_epoch, self.incarnation, self.state
 
 
-Updates = Annotated[tuple[Update, ...], Meta(max_length=MOST_UPDATES)]
+Updates = Annotated[tuple[Update, ...], Meta(max_length=MAX_UPDATES)]
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Are you there?"""
+    """Probe of the receiver."""
 
     sender: Name
-    run: Number
+    boot_epoch: Number = msgspec.field(name="run")
     updates: Updates = ()
 
 
 class PingFor(msgspec.Struct, frozen=True, tag="ping-for"):
-    """Is `target` there? I have no answer from it."""
+    """Request to probe `target`, which has not responded to the sender."""
 
     sender: Name
-    run: Number
+    boot_epoch: Number = msgspec.field(name="run")
     target: Name
     updates: Updates = ()
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """I am there; to a PingFor, whether its target is."""
+    """Response to a probe. To a PingFor, `reached` says whether the target responded."""
 
     sender: Name
-    run: Number
+    boot_epoch: Number = msgspec.field(name="run")
     reached: bool = True
     updates: Updates = ()
 
 
-Ask = Ping | PingFor
-Answer = Ack
+Request = Ping | PingFor
+Response = Ack
 
 
-def read_ask(body: bytes) -> Ask:
-    """Raises msgspec.MsgspecError where it is none."""
-    return msgspec.json.decode(body, type=Ask)
+def read_request(body: bytes) -> Request:
+    """Decode a body. Raises msgspec.MsgspecError."""
+    return msgspec.json.decode(body, type=Request)
 
 
-def read_answer(body: bytes) -> Answer:
-    """Raises msgspec.MsgspecError where it is none."""
+def read_response(body: bytes) -> Response:
+    """Decode a body. Raises msgspec.MsgspecError."""
     return msgspec.json.decode(body, type=Ack)
 
 
-def write(message: Ask | Answer) -> bytes:
-    """The message as it travels."""
+def encode(message: Request | Response) -> bytes:
+    """Encode a message."""
     return msgspec.json.encode(message)
--- a/foxlift/peers/view.py
+++ b/foxlift/peers/view.py
@@ -1,27 +1,29 @@
-"""One director's belief of who is there: SWIM with Lifeguard's local health, over asks and answers.
-
-Das, Gupta, Motivala: SWIM, DSN 2002; Dadgar, Phillips, Currey: Lifeguard, DSN 2018. Names come from the
-settings, so nobody is found or admitted by gossip, and a peer that is gone is still asked now and then.
-
-    peer        event                                    next        what is done
-    UNKNOWN     it answers, or an update tells of it     ALIVE       told
-    ALIVE       no answer, directly or by others         SUSPECTED   told to others, a wait begins
-    SUSPECTED   it refutes: a higher incarnation         ALIVE
-    SUSPECTED   others suspect it too                    SUSPECTED   the wait gets shorter
-    SUSPECTED   the wait is over                         DEAD
+"""A director's view of which peers are alive: SWIM with Lifeguard's local health, over requests and
+responses.
+
+Das, Gupta, Motivala: SWIM, DSN 2002; Dadgar, Phillips, Currey: Lifeguard, DSN 2018. The settings name the
+peers: gossip neither finds nor admits any, and dead peers are still probed now and then.
+
+    peer        event                                           next        what is done
+    UNKNOWN     it responds, or an update says it is alive      ALIVE       reported
+    ALIVE       no response, directly or through helpers        SUSPECTED   sent to others, a timer starts
+    SUSPECTED   it refutes with a higher incarnation            ALIVE
+    SUSPECTED   others suspect it too                           SUSPECTED   the timer gets shorter
+    SUSPECTED   the timer has ended                             DEAD
     ALIVE,
-    SUSPECTED   an update tells of its death             DEAD
-    DEAD, LEFT  it refutes, or comes with a higher run   ALIVE
-    any         it leaves in order                       LEFT
-    any         the settings name it no more             (none)      forgotten
-
-A probe: ask the target; after a part of the period without an answer have `HELPERS` others ask it; at the
-period's end without any word it is suspected. Whoever is slow itself misses answers that came: each miss,
-each helper that says nothing and each suspicion against itself raises its own `health` number, which
-stretches its periods and waits, and each success lowers it.
-
-Beliefs are ordered by (run, incarnation, state) and only ever rise, so messages may be lost, doubled, late or
-of an old run: nothing that is known is unlearned by them.
+    SUSPECTED   an update says it is dead                       DEAD
+    DEAD, LEFT  it refutes, or has a higher boot epoch          ALIVE
+    any         it announces that it leaves                     LEFT
+    any         the settings no longer name it                  (none)      removed
+
+A probe sends a request to its target. After a fraction of the period without a response, `HELPERS` other
+peers are asked to probe the target. Without any response at the end of the period the target is suspected. A
+director that is slow itself misses responses that were sent. So each miss, each silent helper and each
+suspicion against itself raises its `health` number, which stretches its periods and timers; each success
+lowers it.
+
+Beliefs are ordered by (boot epoch, incarnation, state) and only ever rise. So messages may be lost,
+duplicated, late or of an old epoch without undoing what is known.
 """
 
 from __future__ import annotations
@@ -31,483 +33,503 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from foxlift.peers.messages import MOST_UPDATES, Ack, Answer, Ask, Ping, PingFor, State, Update
+from foxlift.peers.messages import MAX_UPDATES, Ack, PeerState, Ping, PingFor, Request, Response, Update
 
 PERIOD_MS = 500.0  # between two probes of one director
-DIRECT_PART = 0.4  # of the period: then others are asked to ask
+DIRECT_FRACTION = 0.4  # of the period, until helpers are asked
 HELPERS = 3
-SUSPECT_LEAST = 4.0  # periods times log10 of the fleet, at least 1: the wait where many agree
-SUSPECT_MOST = 4.0  # times that: the wait where nobody agrees
-CONFIRMS = 3  # others who suspect it too, for the shortest wait
-HEALTH_MOST = 8  # a slow director stretches its periods to nine times at most
-SPREAD = 3.0  # an update is sent so many times log2 of the fleet
-ABSENT_EVERY = 4  # each fourth probe goes to one who is not there: after a cut both halves are
-MOST_ASKED = 64  # asks on behalf of others at once
+MIN_SUSPICION_PERIODS = 4.0  # times log10 of the fleet, which counts as 1 at least: where many agree
+MAX_SUSPICION_FACTOR = 4.0  # times the minimum: where nobody agrees
+MAX_CONFIRMATIONS = 3  # other peers that suspect it too, for the shortest timer
+MAX_HEALTH = 8  # a slow director stretches its periods to nine times at most
+GOSSIP_FACTOR = 3.0  # times log2 of the fleet: how often an update is sent
+ABSENT_PROBE_INTERVAL = 4  # each fourth probe goes to an unreachable peer: a healed partition shows
+MAX_INDIRECT_REQUESTS = 64  # at once
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A peer's message; `request` is the caller's name for its answer."""
+class RequestReceived:
+    """A peer's message. `request`: number chosen by the caller, names the response."""
 
     request: int
-    message: Ask
+    message: Request
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """An answer to `Send`."""
+class ResponseReceived:
+    """A response to `Send`."""
 
-    ask: int
-    message: Answer
+    request_id: int
+    message: Response
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
-    """No answer to `Send`, or none that can be read."""
+class RequestFailed:
+    """No response to `Send`, or an unreadable one."""
 
-    ask: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer has come due."""
+    """A timer has ended."""
 
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured:
-    """The settings name these peers now."""
+    """The settings have changed and name these directors."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This director stops in order: say so to some, they tell the rest."""
+    """This director stops: announce it to some peers, which pass it on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """This director goes on in a higher run: what others believe of the one before is over."""
+    """This director continues in a higher boot epoch; beliefs about the former one no longer count."""
 
-    run: int
+    boot_epoch: int
 
 
-Event = Asked | Answered | Unanswered | TimerDue | Reconfigured | Leave | Renew
+Event = RequestReceived | ResponseReceived | RequestFailed | TimerDue | Reconfigured | Leave | Renew
 
 
 # ---- Timers and actions -----------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Period:
-    """The next probe."""
+class NextProbe:
+    """The next probe begins."""
 
 
 @dataclass(frozen=True, slots=True)
-class Direct:
-    """The direct ask of this probe has waited long enough."""
+class DirectProbeTimeout:
+    """The target of this probe has not responded directly."""
 
     probe: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lasting:
-    """A suspicion's wait may be over."""
+class SuspicionTimeout:
+    """The suspicion of this peer may have lasted long enough."""
 
     name: str
-    run: int
+    boot_epoch: int
     incarnation: int
 
 
-Timer = Period | Direct | Lasting
+Timer = NextProbe | DirectProbeTimeout | SuspicionTimeout
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Ask a peer; an answer is of no use after `within_ms`."""
+    """Send a request to a peer; a response counts within `timeout_ms`."""
 
     to: str
-    ask: int
-    message: Ask
-    within_ms: float
+    request_id: int
+    message: Request
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer a peer's ask."""
+    """Respond to a peer's request."""
 
     request: int
-    message: Answer
+    message: Response
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ask for TimerDue with this timer."""
+    """Deliver TimerDue with this timer after `delay_ms`."""
 
     delay_ms: float
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """What is believed of a peer has changed; `view` counts such changes of this run."""
+class PeerChanged:
+    """The belief about a peer has changed; `version` counts such changes in this boot epoch."""
 
     name: str
-    state: State
-    run: int
-    view: int
+    state: PeerState
+    boot_epoch: int
+    version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another process with a later run has this director's name: this one must stop acting."""
+    """Another process with a later boot epoch has this director's name: this one must stop acting."""
 
-    run: int
+    boot_epoch: int
 
 
-Action = Send | Reply | StartTimer | Changed | Superseded
+Action = Send | Reply | StartTimer | PeerChanged | Superseded
 
 
 @dataclass(slots=True)
 class _Peer:
     name: str
-    state: State = State.UNKNOWN
-    run: int = 0
+    state: PeerState = PeerState.UNKNOWN
+    boot_epoch: int = 0
     incarnation: int = 0
     since: float = 0.0  # when it was suspected
-    suspecters: set[str] = field(default_factory=set)
+    suspecting_peers: set[str] = field(default_factory=set)
 
     @property
-    def there(self) -> bool:
-        return self.state in (State.ALIVE, State.SUSPECTED)
+    def reachable(self) -> bool:
+        return self.state in (PeerState.ALIVE, PeerState.SUSPECTED)
 
 
 @dataclass(slots=True)
 class _Probe:
     target: str
     helpers: int = 0
-    silent: int = 0  # helpers that have said nothing
+    silent_helpers: int = 0  # that have not responded
 
 
 class Peers:
-    """Who is there, for the director `name` in its run `run`.
+    """The view of the director `name` in its boot epoch `boot_epoch`.
 
-    `run` must be higher than that of any earlier process under the name, whatever became of its disk or its
-    clock; `seed` draws whom to ask. `period_ms` is for all directors alike.
+    `boot_epoch` must be higher than that of any earlier process with the name, even after a lost disk or a
+    clock set back. `seed`: for the order of probes. `period_ms`: the same for all directors.
     """
 
     def __init__(
-        self, name: str, run: int, names: Iterable[str], seed: int, period_ms: float = PERIOD_MS
+        self, name: str, boot_epoch: int, names: Iterable[str], seed: int, period_ms: float = PERIOD_MS
     ) -> None:
-        self.name, self.run, self.incarnation = name, run, 0
-        self.view = 0
+        self.name, self.boot_epoch, self.incarnation = name, boot_epoch, 0
+        self.version = 0
         self.health = 0
         self.left = False
         self.superseded = False
         self.peers = {other: _Peer(other) for other in sorted(names) if other != name}
         self._period_ms = period_ms
-        self._random = random.Random(f"{seed} {name} {run}")
+        self._random = random.Random(f"{seed} {name} {boot_epoch}")
         self._order: list[str] = []
-        self._turn = 0
-        self._probe = _Probe("")  # the present one
-        self._number = 0  # of probes
-        self._last_ask = 0
-        self._asks: dict[int, str] = {}  # of the present probe: who was asked
-        self._for: dict[int, tuple[int, str]] = {}  # ask on behalf of another: its request, and who was asked
-        self._news: dict[str, tuple[Update, int]] = {}  # by name: what is to be told, how often it was
-        self._out: list[Action] = []
+        self._probe_count = 0
+        self._probe = _Probe("")  # the current one
+        self._probe_number = 0
+        self._last_request_id = 0
+        self._requests: dict[int, str] = {}  # of the current probe, by request id: who was asked
+        # probes for other peers, by request id: the peer's request, the target
+        self._indirect_requests: dict[int, tuple[int, str]] = {}
+        self._gossip: dict[str, tuple[Update, int]] = {}  # by name: what is to be sent, how often it was sent
+        self._actions: list[Action] = []
         self._now = 0.0
 
-    # ---- What is known ------------------------------------------------------------------------------------
-    def state(self, name: str) -> State:
-        """What is believed of a peer; of itself, and of names not in the settings, what is plain."""
+    # ---- State --------------------------------------------------------------------------------------------
+    def state(self, name: str) -> PeerState:
+        """The belief about a director; UNKNOWN for names that are not in the settings."""
         if name == self.name:
-            return State.LEFT if self.left else State.ALIVE
+            return PeerState.LEFT if self.left else PeerState.ALIVE
         peer = self.peers.get(name)
-        return State.UNKNOWN if peer is None else peer.state
+        return PeerState.UNKNOWN if peer is None else peer.state
 
-    def there(self) -> list[str]:
-        """Peers that are alive or merely suspected, this director first."""
-        return [self.name, *(name for name, peer in self.peers.items() if peer.there)]
+    def reachable(self) -> list[str]:
+        """Names of the alive and suspected peers, this director first."""
+        return [self.name, *(name for name, peer in self.peers.items() if peer.reachable)]
 
     @property
     def majority(self) -> bool:
-        """Whether more than half of all that the settings name are believed to be there, itself included."""
-        return 2 * len(self.there()) > len(self.peers) + 1
+        """Whether more than half of the directors that the settings name are reachable, itself included."""
+        return 2 * len(self.reachable()) > len(self.peers) + 1
 
     def sizes(self) -> dict[str, int]:
         """Entries in each table."""
         return {
             "peers": len(self.peers),
-            "asks": len(self._asks),
-            "asks for others": len(self._for),
-            "news": len(self._news),
+            "asks": len(self._requests),
+            "asks for others": len(self._indirect_requests),
+            "news": len(self._gossip),
         }
 
     # ---- Events -------------------------------------------------------------------------------------------
     def start(self) -> list[Action]:
-        """The first probe, at a moment of the seed's choosing: who starts at once must not ask at once."""
-        self._tell(self._self())
-        return [StartTimer(self._period_ms * self._random.random(), Period())]
+        """Start the first probe after a random part of the period, so that directors do not probe in step."""
+        self._spread(self._own_update())
+        return [StartTimer(self._period_ms * self._random.random(), NextProbe())]
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms on a clock that never steps back."""
-        self._now, self._out = now, []
-        if isinstance(event, Renew) and event.run > self.run:
+        """Handle one event; `now` in ms on a clock that never steps back."""
+        self._now, self._actions = now, []
+        if isinstance(event, Renew) and event.boot_epoch > self.boot_epoch:
             self.superseded = False
         if self.superseded:
             return []
         match event:
-            case TimerDue(Period()):
-                self._period()
-            case TimerDue(Direct(probe)):
-                self._ask_helpers(probe)
-            case TimerDue(Lasting(name, run, incarnation)):
-                self._lasting(name, run, incarnation)
-            case Asked(request, message):
-                self._asked(request, message)
-            case Answered(ask, message):
-                self._answered(ask, message)
-            case Unanswered(ask):
-                self._unanswered(ask)
+            case TimerDue(NextProbe()):
+                self._begin_probe()
+            case TimerDue(DirectProbeTimeout(probe)):
+                self._probe_indirectly(probe)
+            case TimerDue(SuspicionTimeout(name, boot_epoch, incarnation)):
+                self._suspicion_timeout(name, boot_epoch, incarnation)
+            case RequestReceived(request, message):
+                self._request(request, message)
+            case ResponseReceived(request_id, message):
+                self._response(request_id, message)
+            case RequestFailed(request_id):
+                self._request_failed(request_id)
             case Reconfigured(names):
                 self._reconfigured(names)
             case Leave():
                 self._leave()
-            case Renew(run):
-                self.run, self.incarnation = max(run, self.run), 0
-                self._tell(self._self())
-        return [action for action in self._out if isinstance(action, Superseded)] or self._out
+            case Renew(boot_epoch):
+                self.boot_epoch, self.incarnation = max(boot_epoch, self.boot_epoch), 0
+                self._spread(self._own_update())
+        return [action for action in self._actions if isinstance(action, Superseded)] or self._actions
 
     # ---- Probes -------------------------------------------------------------------------------------------
-    def _period(self) -> None:
-        self._judge()
+    def _begin_probe(self) -> None:
+        self._end_probe()
         if self.left:
             return
         stretch = 1 + self.health
-        self._out.append(StartTimer(self._period_ms * stretch, Period()))
-        target = self._next()
+        self._actions.append(StartTimer(self._period_ms * stretch, NextProbe()))
+        target = self._next_target()
         if target is None:
             return
-        self._number += 1
+        self._probe_number += 1
         self._probe = _Probe(target)
-        ping = Ping(self.name, self.run, self._updates(target))
-        self._asks[self._send(target, ping, self._period_ms * stretch)] = target
-        self._out.append(StartTimer(self._period_ms * DIRECT_PART * stretch, Direct(self._number)))
-
-    def _judge(self) -> None:
-        """The last probe's period is over."""
+        ping = Ping(self.name, self.boot_epoch, self._updates(target))
+        self._requests[self._send(target, ping, self._period_ms * stretch)] = target
+        self._actions.append(
+            StartTimer(self._period_ms * DIRECT_FRACTION * stretch, DirectProbeTimeout(self._probe_number))
+        )
+
+    def _end_probe(self) -> None:
+        """Evaluate the last probe at the end of its period."""
         probe, self._probe = self._probe, _Probe("")
-        self._asks = {}
+        self._requests = {}
         peer = self.peers.get(probe.target)
-        if peer is None or not peer.there:
+        if peer is None or not peer.reachable:
             return
-        if peer.state is State.ALIVE:  # from one that is suspected already no answer is no news
-            # whoever had no word from helpers either may be the one that is cut off or slow
-            self._feel(1 + probe.silent)
-            self._learn(Update(peer.name, State.SUSPECTED, peer.run, peer.incarnation, self.name))
-
-    def _next(self) -> str | None:
-        """Each that is there once a round, in an order drawn anew; now and then one that is not."""
-        absent = [name for name, peer in self.peers.items() if not peer.there]
-        self._turn += 1
-        if absent and (self._turn % ABSENT_EVERY == 0 or len(absent) == len(self.peers)):
+        if peer.state is PeerState.ALIVE:  # a suspected peer that does not respond stays suspected
+            # without responses from helpers this director itself may be slow or cut off
+            self._adjust_health(1 + probe.silent_helpers)
+            self._apply(Update(peer.name, PeerState.SUSPECTED, peer.boot_epoch, peer.incarnation, self.name))
+
+    def _next_target(self) -> str | None:
+        """Each reachable peer once a round in random order; every few probes an unreachable one."""
+        absent = [name for name, peer in self.peers.items() if not peer.reachable]
+        self._probe_count += 1
+        if absent and (self._probe_count % ABSENT_PROBE_INTERVAL == 0 or len(absent) == len(self.peers)):
             return self._random.choice(absent)
         while self._order:
             name = self._order.pop()
-            if name in self.peers and self.peers[name].there:
+            if name in self.peers and self.peers[name].reachable:
                 return name
-        self._order = [name for name, peer in self.peers.items() if peer.there]
+        self._order = [name for name, peer in self.peers.items() if peer.reachable]
         self._random.shuffle(self._order)
         return self._order.pop() if self._order else None
 
-    def _ask_helpers(self, probe: int) -> None:
+    def _probe_indirectly(self, probe: int) -> None:
         target = self.peers.get(self._probe.target)
-        if probe != self._number or target is None or not target.there:
+        if probe != self._probe_number or target is None or not target.reachable:
             return
-        others = [name for name, peer in self.peers.items() if peer.there and name != target.name]
+        others = [name for name, peer in self.peers.items() if peer.reachable and name != target.name]
         for helper in self._random.sample(others, min(HELPERS, len(others))):
             self._probe.helpers += 1
-            self._probe.silent += 1
-            message = PingFor(self.name, self.run, target.name, self._updates(helper))
-            within = self._period_ms * (1 - DIRECT_PART) * (1 + self.health)
-            self._asks[self._send(helper, message, within)] = helper
-
-    def _send(self, to: str, message: Ask, within_ms: float) -> int:
-        self._last_ask += 1
-        self._out.append(Send(to, self._last_ask, message, within_ms))
-        return self._last_ask
-
-    def _asked(self, request: int, message: Ask) -> None:
-        if not self._known(message):
+            self._probe.silent_helpers += 1
+            message = PingFor(self.name, self.boot_epoch, target.name, self._updates(helper))
+            timeout_ms = self._period_ms * (1 - DIRECT_FRACTION) * (1 + self.health)
+            self._requests[self._send(helper, message, timeout_ms)] = helper
+
+    def _send(self, to: str, message: Request, timeout_ms: float) -> int:
+        self._last_request_id += 1
+        self._actions.append(Send(to, self._last_request_id, message, timeout_ms))
+        return self._last_request_id
+
+    def _request(self, request: int, message: Request) -> None:
+        if not self._is_current(message):
             return
-        self._heard(message.sender, message.run, message.updates)
+        self._contacted(message.sender, message.boot_epoch, message.updates)
         if isinstance(message, Ping) or message.target == self.name:
-            self._out.append(Reply(request, self._ack(message.sender, True)))
-        elif message.target not in self.peers or len(self._for) >= MOST_ASKED:
-            self._out.append(Reply(request, self._ack(message.sender, False)))
+            self._actions.append(Reply(request, self._ack(message.sender, True)))
+        elif message.target not in self.peers or len(self._indirect_requests) >= MAX_INDIRECT_REQUESTS:
+            self._actions.append(Reply(request, self._ack(message.sender, False)))
         else:
-            ping = Ping(self.name, self.run, self._updates(message.target))
-            within = self._period_ms * (1 - DIRECT_PART) / 2
-            self._for[self._send(message.target, ping, within)] = request, message.target
+            ping = Ping(self.name, self.boot_epoch, self._updates(message.target))
+            timeout_ms = self._period_ms * (1 - DIRECT_FRACTION) / 2
+            self._indirect_requests[self._send(message.target, ping, timeout_ms)] = request, message.target
 
-    def _answered(self, ask: int, message: Answer) -> None:
-        if not self._known(message):
-            self._unanswered(ask)
+    def _response(self, request_id: int, message: Response) -> None:
+        if not self._is_current(message):
+            self._request_failed(request_id)
             return
-        request, target = self._for.pop(ask, (None, ""))
-        if (target or self._asks.pop(ask, "")) != message.sender:
-            self._refuse(request)  # of a probe long judged, or somebody else's word
+        request, target = self._indirect_requests.pop(request_id, (None, ""))
+        if (target or self._requests.pop(request_id, "")) != message.sender:
+            self._reply_unreachable(request)  # of an earlier probe, or from another sender
             return
-        self._heard(message.sender, message.run, message.updates)
+        self._contacted(message.sender, message.boot_epoch, message.updates)
         if request is not None:
-            self._out.append(Reply(request, self._ack("", True)))
+            self._actions.append(Reply(request, self._ack("", True)))
         elif self._probe.target:
             if message.sender != self._probe.target:
-                self._probe.silent -= 1
+                self._probe.silent_helpers -= 1
             if message.sender == self._probe.target or message.reached:
                 self._probe = _Probe("")
-                self._feel(-1)
+                self._adjust_health(-1)
 
-    def _unanswered(self, ask: int) -> None:
-        self._asks.pop(ask, None)
-        self._refuse(self._for.pop(ask, (None, ""))[0])
+    def _request_failed(self, request_id: int) -> None:
+        self._requests.pop(request_id, None)
+        self._reply_unreachable(self._indirect_requests.pop(request_id, (None, ""))[0])
 
-    def _refuse(self, request: int | None) -> None:
+    def _reply_unreachable(self, request: int | None) -> None:
         if request is not None:
-            self._out.append(Reply(request, self._ack("", False)))
+            self._actions.append(Reply(request, self._ack("", False)))
 
     def _ack(self, to: str, reached: bool) -> Ack:
-        return Ack(self.name, self.run, reached, self._updates(to))
+        return Ack(self.name, self.boot_epoch, reached, self._updates(to))
 
-    def _feel(self, worse: int) -> None:
-        self.health = min(max(self.health + worse, 0), HEALTH_MOST)
+    def _adjust_health(self, change: int) -> None:
+        self.health = min(max(self.health + change, 0), MAX_HEALTH)
 
     # ---- Beliefs ------------------------------------------------------------------------------------------
-    def _known(self, message: Ask | Answer) -> bool:
-        """A peer of the settings, in a run that is not over; what else comes is passed over."""
+    def _is_current(self, message: Request | Response) -> bool:
+        """Whether the sender is a peer of the settings in its latest known boot epoch.
+
+        If not, it is ignored.
+        """
         peer = self.peers.get(message.sender)
-        return peer is not None and message.run >= peer.run
+        return peer is not None and message.boot_epoch >= peer.boot_epoch
+
+    def _contacted(self, name: str, boot_epoch: int, updates: tuple[Update, ...]) -> None:
+        """Apply a message's updates. A new boot epoch is alive.
 
-    def _heard(self, name: str, run: int, updates: tuple[Update, ...]) -> None:
-        """A peer speaks: a run never heard of is news; one believed dead must refute that itself."""
+        A peer believed dead must refute that itself.
+        """
         peer = self.peers[name]
-        if run > peer.run or peer.state is State.UNKNOWN:
-            self._learn(Update(name, State.ALIVE, run, 0))
+        if boot_epoch > peer.boot_epoch or peer.state is PeerState.UNKNOWN:
+            self._apply(Update(name, PeerState.ALIVE, boot_epoch, 0))
         for update in updates:
-            self._learn(update)
+            self._apply(update)
 
-    def _learn(self, update: Update) -> None:
+    def _apply(self, update: Update) -> None:
         if update.name == self.name:
-            self._told_of_itself(update)
+            self._apply_own(update)
             return
         peer = self.peers.get(update.name)
-        if peer is None or update.state is State.UNKNOWN:
+        if peer is None or update.state is PeerState.UNKNOWN:
             return
-        known = (peer.run, peer.incarnation, peer.state)
-        if update.state is State.SUSPECTED and known == update.rank:
-            self._confirmed(peer, update)
+        known = (peer.boot_epoch, peer.incarnation, peer.state)
+        if update.state is PeerState.SUSPECTED and known == update.rank:
+            self._confirm(peer, update)
             return
         if update.rank <= known:
             return
         before = peer.state
-        peer.run, peer.incarnation, peer.state = update.rank[0], update.rank[1], update.state
-        peer.suspecters = {update.by} if update.state is State.SUSPECTED else set()
-        self._tell(update)
-        if update.state is State.SUSPECTED:
+        peer.boot_epoch, peer.incarnation, peer.state = update.rank[0], update.rank[1], update.state
+        peer.suspecting_peers = {update.suspected_by} if update.state is PeerState.SUSPECTED else set()
+        self._spread(update)
+        if update.state is PeerState.SUSPECTED:
             peer.since = self._now
-            self._wait(peer)
+            self._start_suspicion_timer(peer)
         if before is not peer.state or update.rank[0] != known[0]:
-            self.view += 1
-            self._out.append(Changed(peer.name, peer.state, peer.run, self.view))
+            self.version += 1
+            self._actions.append(PeerChanged(peer.name, peer.state, peer.boot_epoch, self.version))
 
-    def _told_of_itself(self, update: Update) -> None:
-        if update.run > self.run:
+    def _apply_own(self, update: Update) -> None:
+        if update.boot_epoch > self.boot_epoch:
             self.superseded = True
-            self._out.append(Superseded(update.run))
+            self._actions.append(Superseded(update.boot_epoch))
             return
-        if update.run < self.run or self.left or update.state not in (State.SUSPECTED, State.DEAD):
+        if (
+            update.boot_epoch < self.boot_epoch
+            or self.left
+            or update.state not in (PeerState.SUSPECTED, PeerState.DEAD)
+        ):
             return
         if update.incarnation >= self.incarnation:
-            # it was slow, or cut off: it says so aloud, and trusts its own judgement of others less
+            # it was slow or cut off: refute, and trust its own suspicions less
             self.incarnation = update.incarnation + 1
-            self._feel(1)
-        self._tell(self._self())  # also to one that has missed an earlier word on it
+            self._adjust_health(1)
+        self._spread(self._own_update())  # also for peers that have missed an earlier refutation
 
-    def _self(self) -> Update:
-        return Update(self.name, State.LEFT if self.left else State.ALIVE, self.run, self.incarnation)
+    def _own_update(self) -> Update:
+        return Update(
+            self.name, PeerState.LEFT if self.left else PeerState.ALIVE, self.boot_epoch, self.incarnation
+        )
 
     # ---- Suspicion ----------------------------------------------------------------------------------------
-    def _wait_ms(self, peer: _Peer) -> float:
-        """How long a suspicion lasts: longer where few agree, and for one that is slow itself."""
+    def _suspicion_ms(self, peer: _Peer) -> float:
+        """How long a suspicion lasts: longer where few agree, and where this director is slow itself."""
         fleet = max(math.log10(len(self.peers) + 1), 1.0)
-        least = SUSPECT_LEAST * fleet * self._period_ms
-        most = SUSPECT_MOST * least
-        agree = math.log(len(peer.suspecters)) / math.log(CONFIRMS + 1)
-        return (most - (most - least) * min(agree, 1.0)) * (1 + self.health)
-
-    def _wait(self, peer: _Peer) -> None:
-        left = max(peer.since + self._wait_ms(peer) - self._now, 0.0)
-        self._out.append(StartTimer(left, Lasting(peer.name, peer.run, peer.incarnation)))
-
-    def _confirmed(self, peer: _Peer, update: Update) -> None:
-        if len(peer.suspecters) <= CONFIRMS and update.by not in peer.suspecters:
-            peer.suspecters.add(update.by)
-            self._tell(update)
-            self._wait(peer)
-
-    def _lasting(self, name: str, run: int, incarnation: int) -> None:
+        min_ms = MIN_SUSPICION_PERIODS * fleet * self._period_ms
+        max_ms = MAX_SUSPICION_FACTOR * min_ms
+        agree = math.log(len(peer.suspecting_peers)) / math.log(MAX_CONFIRMATIONS + 1)
+        return (max_ms - (max_ms - min_ms) * min(agree, 1.0)) * (1 + self.health)
+
+    def _start_suspicion_timer(self, peer: _Peer) -> None:
+        left = max(peer.since + self._suspicion_ms(peer) - self._now, 0.0)
+        self._actions.append(StartTimer(left, SuspicionTimeout(peer.name, peer.boot_epoch, peer.incarnation)))
+
+    def _confirm(self, peer: _Peer, update: Update) -> None:
+        if (
+            len(peer.suspecting_peers) <= MAX_CONFIRMATIONS
+            and update.suspected_by not in peer.suspecting_peers
+        ):
+            peer.suspecting_peers.add(update.suspected_by)
+            self._spread(update)
+            self._start_suspicion_timer(peer)
+
+    def _suspicion_timeout(self, name: str, boot_epoch: int, incarnation: int) -> None:
         peer = self.peers.get(name)
-        if peer is None or peer.state is not State.SUSPECTED:
+        if peer is None or peer.state is not PeerState.SUSPECTED:
             return
-        if (peer.run, peer.incarnation) != (run, incarnation):
+        if (peer.boot_epoch, peer.incarnation) != (boot_epoch, incarnation):
             return
-        if self._now >= peer.since + self._wait_ms(peer) - 0.5:
-            self._learn(Update(name, State.DEAD, run, incarnation))
-        elif len(peer.suspecters) == 1:
-            self._wait(peer)  # this director has become slow itself meanwhile
+        if self._now >= peer.since + self._suspicion_ms(peer) - 0.5:
+            self._apply(Update(name, PeerState.DEAD, boot_epoch, incarnation))
+        elif len(peer.suspecting_peers) == 1:
+            self._start_suspicion_timer(peer)  # this director has become slower meanwhile
 
-    # ---- News ---------------------------------------------------------------------------------------------
-    def _tell(self, update: Update) -> None:
-        self._news[update.name] = update, 0
+    # ---- Gossip -------------------------------------------------------------------------------------------
+    def _spread(self, update: Update) -> None:
+        self._gossip[update.name] = update, 0
 
     def _updates(self, to: str) -> tuple[Update, ...]:
-        """What was told least often; to one that is suspected or gone, first what is believed of it."""
+        """The least sent updates; for a suspected or dead receiver first the belief about itself."""
         chosen: list[Update] = []
         peer = self.peers.get(to)
-        if peer is not None and peer.state in (State.SUSPECTED, State.DEAD, State.LEFT):
-            chosen.append(Update(to, peer.state, peer.run, peer.incarnation, self.name))
-        if peer is not None and not peer.there:
-            chosen.append(self._self())  # whoever has not heard of this one must, however old that news is
-        most = math.ceil(SPREAD * math.log2(len(self.peers) + 2))
-        for name, (update, told) in sorted(self._news.items(), key=lambda news: (news[1][1], news[0])):
-            if len(chosen) >= MOST_UPDATES:
+        if peer is not None and peer.state in (PeerState.SUSPECTED, PeerState.DEAD, PeerState.LEFT):
+            chosen.append(Update(to, peer.state, peer.boot_epoch, peer.incarnation, self.name))
+        if peer is not None and not peer.reachable:
+            chosen.append(self._own_update())  # an unreachable peer may not have this update
+        max_sent = math.ceil(GOSSIP_FACTOR * math.log2(len(self.peers) + 2))
+        for name, (update, sent) in sorted(self._gossip.items(), key=lambda entry: (entry[1][1], entry[0])):
+            if len(chosen) >= MAX_UPDATES:
                 break
             if update in chosen:
                 continue
             chosen.append(update)
-            if told + 1 >= most:
-                del self._news[name]
+            if sent + 1 >= max_sent:
+                del self._gossip[name]
             else:
-                self._news[name] = update, told + 1
+                self._gossip[name] = update, sent + 1
         return tuple(chosen)
 
-    # ---- Coming and going ---------------------------------------------------------------------------------
+    # ---- Settings and leaving -----------------------------------------------------------------------------
     def _reconfigured(self, names: frozenset[str]) -> None:
         for name in sorted(names - self.peers.keys() - {self.name}):
             self.peers[name] = _Peer(name)
         for name in sorted(self.peers.keys() - names):
-            if self.peers[name].there:
-                self.view += 1
-                self._out.append(Changed(name, State.UNKNOWN, self.peers[name].run, self.view))
+            if self.peers[name].reachable:
+                self.version += 1
+                self._actions.append(
+                    PeerChanged(name, PeerState.UNKNOWN, self.peers[name].boot_epoch, self.version)
+                )
             del self.peers[name]
-            self._news.pop(name, None)
+            self._gossip.pop(name, None)
 
     def _leave(self) -> None:
         self.left = True
-        self._news.clear()
-        self._tell(self._self())
-        there = [name for name, peer in self.peers.items() if peer.there]
-        for name in self._random.sample(there, min(2 * HELPERS, len(there))):
-            self._send(name, Ping(self.name, self.run, self._updates(name)), self._period_ms)
+        self._gossip.clear()
+        self._spread(self._own_update())
+        reachable = [name for name, peer in self.peers.items() if peer.reachable]
+        for name in self._random.sample(reachable, min(2 * HELPERS, len(reachable))):
+            self._send(name, Ping(self.name, self.boot_epoch, self._updates(name)), self._period_ms)
--- a/foxlift/recovery/takeover.py
+++ b/foxlift/recovery/takeover.py
@@ -39,7 +39,7 @@
 from enum import Enum
 
 from foxlift.consensus.rendezvous import is_first, replicas_of
-from foxlift.peers.messages import State
+from foxlift.peers.messages import PeerState
 
 MOST_OUT = 4  # takes out at once
 SPREAD_MS = 200.0  # the first take of a work is drawn from so long
@@ -79,7 +79,7 @@
     """What is believed of a peer now; of all that are there, itself first."""
 
     peer: str
-    state: State
+    state: PeerState
     run: int
     there: tuple[str, ...]
 
@@ -285,13 +285,13 @@
                 self._gone.pop(seen.peer, None)  # the settings name it no more
             return self._plan()
         known = self._gone.get(seen.peer)
-        if seen.state in (State.DEAD, State.LEFT):
+        if seen.state in (PeerState.DEAD, PeerState.LEFT):
             self._heard.add(seen.peer)
-            left = seen.state is State.LEFT
+            left = seen.state is PeerState.LEFT
             if known is None or known.run < seen.run or (left and not known.left):
                 self._gone[seen.peer] = _Gone(seen.run, now, left)
                 self._forget(lambda work: work.of == seen.peer)
-        elif seen.state in (State.ALIVE, State.SUSPECTED):
+        elif seen.state in (PeerState.ALIVE, PeerState.SUSPECTED):
             self._heard.add(seen.peer)
             if known is not None:
                 # refuted, or back in a later run: then its own next run takes what is left
--- a/tests/peers_world.py
+++ b/tests/peers_world.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from foxlift import peers as pr
-from foxlift.peers.messages import read_answer, read_ask, write
+from foxlift.peers.messages import encode, read_request, read_response
 
 
 @dataclass
@@ -36,7 +36,7 @@
     now: float = 1.0
     members: dict[str, Member] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)  # from, to
-    changes: list[tuple[float, str, pr.Changed]] = field(default_factory=list)
+    changes: list[tuple[float, str, pr.PeerChanged]] = field(default_factory=list)
     superseded: set[str] = field(default_factory=set)
     sent: Counter[str] = field(default_factory=Counter)
     sent_bytes: Counter[str] = field(default_factory=Counter)
@@ -84,12 +84,12 @@
         self.now = end
         return end
 
-    def all_believe(self, name: str, *states: pr.State) -> bool:
+    def all_believe(self, name: str, *states: pr.PeerState) -> bool:
         return all(m.view.state(name) in states for n, m in self.members.items() if m.up and n != name)
 
     def deaths(self, since: float = 0.0) -> set[str]:
         """Who was believed dead by anybody."""
-        return {c.name for at, _, c in self.changes if c.state is pr.State.DEAD and at >= since}
+        return {c.name for at, _, c in self.changes if c.state is pr.PeerState.DEAD and at >= since}
 
     # ---- Network ------------------------------------------------------------------------------------------
     def _later(self, at: float, name: str, event: Callable[[], pr.Event | None]) -> None:
@@ -114,7 +114,7 @@
         def arrives() -> pr.Event | None:
             self._answers.setdefault((to, request), answered)
             try:
-                return pr.Asked(request, read_ask(body))
+                return pr.RequestReceived(request, read_request(body))
             except msgspec.MsgspecError:
                 return None
 
@@ -127,16 +127,16 @@
                 case pr.StartTimer(delay, timer):
                     self._later(self.now + delay, name, lambda t=timer: self._own(name, run, pr.TimerDue(t)))  # type: ignore[misc]
                 case pr.Send(to, number, message, within):
-                    self._send(name, run, to, number, write(message), within)
+                    self._send(name, run, to, number, encode(message), within)
                 case pr.Reply(request, message):
                     reply = self._answers.pop((name, request), None)
                     if reply is not None:
-                        self._count(name, write(message))
-                        reply(write(message))
-                case pr.Changed():
+                        self._count(name, encode(message))
+                        reply(encode(message))
+                case pr.PeerChanged():
                     self.changes.append((self.now, name, action))
                 case pr.Superseded():
-                    self.superseded.add(f"{name}.{run.run}")
+                    self.superseded.add(f"{name}.{run.boot_epoch}")
 
     def _own(self, name: str, view: pr.Peers, event: pr.Event) -> pr.Event | None:
         """For the process that asked, not for one that came after it under its name."""
@@ -152,7 +152,7 @@
                 if over or self.members[name].view is not view:
                     return None
                 over.append(True)
-                return pr.Answered(number, read_answer(answer))
+                return pr.ResponseReceived(number, read_response(answer))
 
             self._pass(to, name, comes)
 
@@ -160,7 +160,7 @@
             if over or self.members[name].view is not view:
                 return None
             over.append(True)
-            return pr.Unanswered(number)
+            return pr.RequestFailed(number)
 
         self.ask(name, to, body, answered)
         self._later(self.now + within, name, times_out)
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -11,7 +11,7 @@
 import pytest
 
 from foxlift.consensus import Proposer, rendezvous
-from foxlift.peers import State
+from foxlift.peers import PeerState
 from foxlift.platform import settings
 from foxlift.platform.stop import State as StopState
 from foxlift.platform.transport import PlatformDirector
@@ -33,7 +33,7 @@
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
     there = tuple(name for name in names if name not in set(dead))
     for name in dead:
-        machine.handle(0.0, takeover.Seen(name, State.DEAD, RUN, there))
+        machine.handle(0.0, takeover.Seen(name, PeerState.DEAD, RUN, there))
     return machine
 
 
@@ -71,7 +71,7 @@
 
     rank = rendezvous.rank
     monkeypatch.setattr(rendezvous, "rank", counted)
-    machine.handle(0.0, takeover.Seen(NAMES[1], State.ALIVE, RUN + 1, tuple(NAMES[:-1])))
+    machine.handle(0.0, takeover.Seen(NAMES[1], PeerState.ALIVE, RUN + 1, tuple(NAMES[:-1])))
     assert ranked < 100 * 100  # all names for each of 100 servers are 420,000
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,9 +10,14 @@
 
 from foxlift import peers as pr
 from foxlift.peers import view as vw
-from foxlift.peers.messages import MOST_UPDATES, write
+from foxlift.peers.messages import MAX_UPDATES, encode
 
-ALIVE, SUSPECTED, DEAD, LEFT = pr.State.ALIVE, pr.State.SUSPECTED, pr.State.DEAD, pr.State.LEFT
+ALIVE, SUSPECTED, DEAD, LEFT = (
+    pr.PeerState.ALIVE,
+    pr.PeerState.SUSPECTED,
+    pr.PeerState.DEAD,
+    pr.PeerState.LEFT,
+)
 
 
 def settled(fleet: Fleet) -> Fleet:
@@ -58,7 +63,7 @@
 
 def test_a_director_that_is_slow_itself_suspects_others_less() -> None:
     class Sure(pr.Peers):
-        def _feel(self, worse: int) -> None:
+        def _adjust_health(self, worse: int) -> None:
             pass
 
     with_health = sum(wrongly_dead(pr.Peers, seed) for seed in range(3))
@@ -73,7 +78,7 @@
     fleet.run(60_000)
     for name, member in fleet.members.items():
         mine = ones if name in ones else others
-        assert set(member.view.there()) == mine
+        assert set(member.view.reachable()) == mine
         assert member.view.majority == (name in others)
     fleet.cut.clear()
     fleet.run(120_000, lambda: all(fleet.all_believe(name, ALIVE) for name in fleet.names))
@@ -98,14 +103,16 @@
     fleet = settled(Fleet(5))
     old = fleet.members["d1"]
     fleet.start("d1", 2)  # the old process lives on somewhere, and is heard of no more
-    fleet.run(30_000, lambda: all(m.view.peers["d1"].run == 2 for n, m in fleet.members.items() if n != "d1"))
-    assert all(m.view.peers["d1"].run == 2 for n, m in fleet.members.items() if n != "d1")
+    fleet.run(
+        30_000, lambda: all(m.view.peers["d1"].boot_epoch == 2 for n, m in fleet.members.items() if n != "d1")
+    )
+    assert all(m.view.peers["d1"].boot_epoch == 2 for n, m in fleet.members.items() if n != "d1")
     late = pr.Ping("d1", 1, (pr.Update("d1", ALIVE, 1, 99), pr.Update("d2", DEAD, 1, 99)))
-    actions = fleet.members["d2"].view.handle(fleet.now, pr.Asked(1, late))
-    assert not actions and fleet.members["d2"].view.peers["d1"].run == 2
+    actions = fleet.members["d2"].view.handle(fleet.now, pr.RequestReceived(1, late))
+    assert not actions and fleet.members["d2"].view.peers["d1"].boot_epoch == 2
     told = pr.Ping("d2", 1, (pr.Update("d1", ALIVE, 2, 0),))
-    assert old.view.handle(fleet.now, pr.Asked(1, told)) == [pr.Superseded(2)]
-    assert old.view.handle(fleet.now, pr.TimerDue(vw.Period())) == []
+    assert old.view.handle(fleet.now, pr.RequestReceived(1, told)) == [pr.Superseded(2)]
+    assert old.view.handle(fleet.now, pr.TimerDue(vw.NextProbe())) == []
 
 
 def test_one_that_leaves_in_order_is_known_to_have_left_and_is_not_suspected() -> None:
@@ -125,7 +132,7 @@
     fleet.kill("d1")
     fleet.run(60_000)
     view = fleet.members["d0"].view
-    before = {name: (p.run, p.incarnation, p.state) for name, p in view.peers.items()}
+    before = {name: (p.boot_epoch, p.incarnation, p.state) for name, p in view.peers.items()}
     chance = random.Random(1)
     for sender, to, body in chance.sample(fleet.wire, 300):
         fleet.ask(sender, "d0" if to == "d0" else to, body, lambda answer: None)
@@ -133,10 +140,10 @@
     for body in (b"", b"{", b"[]", nameless, negative, b"\xff" * 99):
         fleet.ask("d2", "d0", body, lambda answer: None)
     stranger = pr.Ping("zz", 9, (pr.Update("d2", DEAD, 9, 9), pr.Update("zz", ALIVE, 9, 0)))
-    fleet.ask("d2", "d0", write(stranger), lambda answer: None)
+    fleet.ask("d2", "d0", encode(stranger), lambda answer: None)
     fleet.run(1_000)
-    assert {name: (p.run, p.incarnation, p.state) for name, p in view.peers.items()} == before
-    assert view.handle(fleet.now, pr.Answered(10**6, pr.Ack("d2", 1))) == []
+    assert {name: (p.boot_epoch, p.incarnation, p.state) for name, p in view.peers.items()} == before
+    assert view.handle(fleet.now, pr.ResponseReceived(10**6, pr.Ack("d2", 1))) == []
 
 
 def test_a_changed_number_of_directors_by_new_settings_one_after_another() -> None:
@@ -150,7 +157,7 @@
     fleet.start("d5", 1)
     fleet.run(30_000)
     for name in fleet.names:
-        assert fleet.members[name].view.there() == [name, *(n for n in fleet.names if n != name)]
+        assert fleet.members[name].view.reachable() == [name, *(n for n in fleet.names if n != name)]
         assert not any(key not in new for key in fleet.members[name].view.peers)
 
 
@@ -173,12 +180,17 @@
         fleet.run(20_000)
         cost.messages.append(max(fleet.sent.values()) / 20)
         cost.sizes.append(max(fleet.sent_bytes.values()) / 20)
-        bound = {"peers": count, "asks": 1 + vw.HELPERS, "asks for others": vw.MOST_ASKED, "news": count}
+        bound = {
+            "peers": count,
+            "asks": 1 + vw.HELPERS,
+            "asks for others": vw.MAX_INDIRECT_REQUESTS,
+            "news": count,
+        }
         for member in fleet.members.values():
             assert all(size <= bound[table] for table, size in member.view.sizes().items())
     small, large = cost.messages
     assert large < 2 * small and cost.sizes[1] < 3 * cost.sizes[0]
-    assert MOST_UPDATES * 60 * large > cost.sizes[1]
+    assert MAX_UPDATES * 60 * large > cost.sizes[1]
 
 
 def test_a_seed_gives_the_same_views_and_another_seed_other_probes() -> None:
@@ -200,14 +212,14 @@
         random.Random(seed).shuffle(updates)
         view = pr.Peers("d0", 1, ["d0", "d1", "d2"], 1)
         for update in updates:
-            view.handle(1.0, pr.Asked(1, pr.Ping("d2", 1, (update,))))
+            view.handle(1.0, pr.RequestReceived(1, pr.Ping("d2", 1, (update,))))
         peer = view.peers["d1"]
-        ends.add((peer.run, peer.incarnation, peer.state))
+        ends.add((peer.boot_epoch, peer.incarnation, peer.state))
     assert ends == {(2, 1, DEAD)}
 
 
 def told(view: pr.Peers, now: float, *updates: pr.Update, sender: str = "d2") -> list[pr.Action]:
-    return view.handle(now, pr.Asked(1, pr.Ping(sender, 1, updates)))
+    return view.handle(now, pr.RequestReceived(1, pr.Ping(sender, 1, updates)))
 
 
 def test_the_more_agree_the_sooner_a_suspicion_is_believed() -> None:
@@ -220,7 +232,7 @@
             told(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender=f"d{k + 3}")
             again = told(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender="d2")
             assert [type(action) for action in again] == [pr.Reply]  # no second voice
-        lasting = pr.TimerDue(pr.Lasting("d1", 1, 0))
+        lasting = pr.TimerDue(pr.SuspicionTimeout("d1", 1, 0))
         view.handle(waits - 100.0, lasting)
         assert view.state("d1") is SUSPECTED
         view.handle(waits + 100.0, lasting)
@@ -231,15 +243,15 @@
     view = pr.Peers("d0", 1, ["d0", "d1", "d2"], 1)
     told(view, 1.0, pr.Update("d1", SUSPECTED, 1, 0, "d2"))
     told(view, 2.0, pr.Update("d1", ALIVE, 1, 1), pr.Update("d1", SUSPECTED, 1, 1, "d2"))
-    assert view.handle(3.0, pr.TimerDue(pr.Lasting("d1", 1, 0))) == []
+    assert view.handle(3.0, pr.TimerDue(pr.SuspicionTimeout("d1", 1, 0))) == []
 
 
 def test_asks_on_behalf_of_others_are_bounded() -> None:
     view = pr.Peers("d0", 1, ["d0", "d1", "d2"], 1)
-    for k in range(vw.MOST_ASKED + 1):
-        actions = view.handle(1.0, pr.Asked(k, pr.PingFor("d2", 1, "d1")))
-    assert [type(action) for action in actions if not isinstance(action, pr.Changed)] == [pr.Reply]
-    assert view.sizes()["asks for others"] == vw.MOST_ASKED
+    for k in range(vw.MAX_INDIRECT_REQUESTS + 1):
+        actions = view.handle(1.0, pr.RequestReceived(k, pr.PingFor("d2", 1, "d1")))
+    assert [type(action) for action in actions if not isinstance(action, pr.PeerChanged)] == [pr.Reply]
+    assert view.sizes()["asks for others"] == vw.MAX_INDIRECT_REQUESTS
 
 
 def test_a_quiet_fleet_has_nothing_to_tell() -> None:
@@ -259,11 +271,11 @@
         actions = view.handle(now, event)
         timers.extend((now + a.delay_ms, a.timer) for a in actions if isinstance(a, vw.StartTimer))
 
-    handle(0.0, vw.Asked(1, pr.Ping("d1", 1)))
+    handle(0.0, vw.RequestReceived(1, pr.Ping("d1", 1)))
     for k in range(suspecters):
         by = f"d{2 + k}"
-        handle(10.0 * k, vw.Asked(2 + k, pr.Ping(by, 1, (pr.Update("d1", SUSPECTED, 1, 0, by),))))
-    handle(50.0, vw.Asked(9, pr.Ping("d5", 1, (pr.Update("d0", SUSPECTED, 1, 0, "d5"),))))
+        handle(10.0 * k, vw.RequestReceived(2 + k, pr.Ping(by, 1, (pr.Update("d1", SUSPECTED, 1, 0, by),))))
+    handle(50.0, vw.RequestReceived(9, pr.Ping("d5", 1, (pr.Update("d0", SUSPECTED, 1, 0, "d5"),))))
     assert view.state("d1") is SUSPECTED
     while timers:
         due, timer = min(timers, key=lambda entry: entry[0])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,7 @@
 import pytest
 from recovery_world import BOX, AtomicRegisters, World
 
-from foxlift.peers.messages import State as PeerState
+from foxlift.peers.messages import PeerState as PeerState
 from foxlift.recovery import claims as rc
 from foxlift.recovery import route as rt
 from foxlift.recovery import standing as st
