--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -11,7 +11,7 @@
 from foxlift.consensus import Accept, Ballot, Prepare, Proposer, Record, Replica, replicas_of
 from foxlift.consensus import replica as acceptor
 from foxlift.director.cluster.zone_planning import ReportMessage
-from foxlift.membership import BoxEntry, BoxList, CacheList, Changes, ListAnswer, ListWatch, PollDue
+from foxlift.membership import BoxEntry, BoxList, CacheList, ListDelta, ListReceived, ListWatch, PollDue
 from foxlift.membership.boxlist import encode_full, read_response
 from foxlift.peers import view
 from foxlift.peers.messages import MAX_UPDATES, PeerState, Ping, Update
@@ -213,12 +213,12 @@
     """A server drains: what the client does with it, the copy on disk included, the disk itself left out."""
     watch = ListWatch(None, 500.0, seed=1)
     watch.handle(PollDue())
-    watch.handle(ListAnswer(_whole_list(servers)))
+    watch.handle(ListReceived(_whole_list(servers)))
     version = iter(range(2, 10**9))
 
     def change() -> None:
-        drained = Changes(next(version), (_entry(0, fl.Status.DRAINING),), ())
-        for action in watch.handle(ListAnswer(drained)):
+        drained = ListDelta(next(version), (_entry(0, fl.Status.DRAINING),), ())
+        for action in watch.handle(ListReceived(drained)):
             if isinstance(action, CacheList):
                 encode_full(action.boxes)
 
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -27,13 +27,13 @@
     BoxEntry,
     BoxList,
     CacheList,
-    ListAnswer,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
 )
 from foxlift.store import Verdict
 from foxlift.tokens import SessionToken
@@ -145,7 +145,7 @@
                 self._taken(set_up, 0)
             case ev.PlanInForce(shares):
                 self._tell(fl.ZoneShares(shares))
-            case PollDue() | ListAnswer() | ListFailed():
+            case PollDue() | ListReceived() | ListFailed():
                 self._list(event)
             case (
                 at.IntentDurable()
@@ -663,19 +663,19 @@
             self._tell(fl.Note(found[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
-    def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
+    def _list(self, event: PollDue | ListReceived | ListFailed) -> None:
         for action in self.watch.handle(event):
             match action:
-                case TellList():
+                case PublishList():
                     self._listed(action)
                 case CacheList(boxes):
                     self._out.append(ev.SaveList(boxes))
-                case PollLater(delay_ms):
+                case SchedulePoll(delay_ms):
                     self._out.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
                     self._out.append(action)
 
-    def _listed(self, told: TellList) -> None:
+    def _listed(self, told: PublishList) -> None:
         if told.kind is fl.ListKind.FAILED:
             self._out.append(ev.Say("box list not heard"))
             self._tell(fl.NodeList(fl.ListKind.FAILED))
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -9,7 +9,7 @@
 from foxlift.decide import attempts, claims, links
 from foxlift.http import Headers
 from foxlift.ledger import Ended, Ran, Rerung, Started, TurnedAway
-from foxlift.membership import BoxList, ListAnswer, ListFailed, Poll, PollDue
+from foxlift.membership import BoxList, ListFailed, ListReceived, Poll, PollDue
 from foxlift.recovery.claims import Claim
 from foxlift.store import Known, Verdict
 from foxlift.tokens import SessionToken
@@ -150,7 +150,7 @@
     | NotOwner
     | PlanInForce
     | PollDue
-    | ListAnswer
+    | ListReceived
     | ListFailed
     | attempts.IntentDurable
     | attempts.IntentFailed
--- a/foxlift/director/list_client.py
+++ b/foxlift/director/list_client.py
@@ -11,7 +11,7 @@
 
 from foxlift.config import DirectorConfig
 from foxlift.http import Answer, Failure, Pool, PoolLimits
-from foxlift.membership import BoxList, ListAnswer, ListError, ListFailed, read_response
+from foxlift.membership import BoxList, ListError, ListFailed, ListReceived, read_response
 from foxlift.membership.boxlist import encode_full
 from foxlift.store import FilePort
 
@@ -30,7 +30,7 @@
         config: DirectorConfig,
         loop: asyncio.AbstractEventLoop,
         files: FilePort,
-        feed: Callable[[ListAnswer | ListFailed], None],
+        feed: Callable[[ListReceived | ListFailed], None],
     ) -> None:
         self._name, self._poll_ms = config.name, config.box_list.poll_ms
         self._files, self._feed = files, feed
@@ -89,7 +89,7 @@
             self._feed(ListFailed())
             return
         if result.status == 304:
-            self._feed(ListAnswer(None))
+            self._feed(ListReceived(None))
             return
         try:
             news = read_response(result.body)
@@ -97,4 +97,4 @@
             self._log.warning("box list not readable", detail=str(error))
             self._feed(ListFailed(unreadable=True))
             return
-        self._feed(ListAnswer(news))
+        self._feed(ListReceived(news))
--- a/foxlift/membership/__init__.py
+++ b/foxlift/membership/__init__.py
@@ -1,29 +1,29 @@
-"""The box list: Envoy endpoint discovery (EDS) in its JSON form, and the client's state machine."""
+"""The box list: Envoy endpoint discovery (EDS) in its JSON form, and its client's state machine."""
 
-from foxlift.membership.boxlist import BoxEntry, BoxList, Changes, ListError, read_response
+from foxlift.membership.boxlist import BoxEntry, BoxList, ListDelta, ListError, read_response
 from foxlift.membership.watch import (
     CacheList,
-    ListAnswer,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
 )
 
 __all__ = [
     "BoxEntry",
     "BoxList",
     "CacheList",
-    "Changes",
-    "ListAnswer",
+    "ListDelta",
     "ListError",
     "ListFailed",
+    "ListReceived",
     "ListWatch",
     "Poll",
     "PollDue",
-    "PollLater",
-    "TellList",
+    "PublishList",
+    "SchedulePoll",
     "read_response",
 ]
--- a/foxlift/membership/boxlist.py
+++ b/foxlift/membership/boxlist.py
@@ -1,9 +1,9 @@
-"""Read the box list as Envoy's discovery service writes it in JSON.
+"""Reads and writes the box list in the JSON form of Envoy's discovery service.
 
-Full: a DiscoveryResponse (envoy.service.discovery.v3) whose resources are ClusterLoadAssignments. Changes: a
-DeltaDiscoveryResponse with one LbEndpoint a resource, as in locality endpoint discovery, named by the box's
-name, and `removed_resources`. Versions are whole numbers written as strings. A box's `health_status` is
-HEALTHY, DRAINING or UNHEALTHY; its locality's `zone` is the zone; `load_balancing_weight` the weight in
+Full list: a DiscoveryResponse (envoy.service.discovery.v3) whose resources are ClusterLoadAssignments. Delta:
+a DeltaDiscoveryResponse with one LbEndpoint a resource, as in locality endpoint discovery, named by its box,
+and `removed_resources`. Versions are whole numbers written as strings. A box's `health_status` is HEALTHY,
+DRAINING or UNHEALTHY; the `zone` of its locality is its zone; `load_balancing_weight` is its weight in
 thousandths; `metadata.filter_metadata.foxlift` holds `name`, `cell`, `kind` and `started_unix_ms` (0: long
 ago).
 """
@@ -36,7 +36,7 @@
 
 
 class ListError(ValueError):
-    """A list that cannot be used; names the box and the field."""
+    """An invalid list; the message names the box and the field."""
 
 
 class _SocketAddress(msgspec.Struct):
@@ -52,7 +52,7 @@
     address: _Address
 
 
-class _Own(msgspec.Struct):
+class _FoxliftMetadata(msgspec.Struct):
     name: Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
     cell: Annotated[int, Meta(ge=0)]
     kind: str
@@ -61,7 +61,7 @@
 
 
 class _FilterMetadata(msgspec.Struct):
-    foxlift: _Own
+    foxlift: _FoxliftMetadata
 
 
 class _Metadata(msgspec.Struct):
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoxEntry:
-    """One box of the list. `number` is what the module knows it by; the same at every director."""
+    """One box of the list. `number` identifies it in the module, the same at every director."""
 
     name: str
     number: int
@@ -123,15 +123,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BoxList:
-    """A whole list."""
+    """A full list."""
 
     version: int
     boxes: tuple[BoxEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
-    """What changed since the list that was held."""
+class ListDelta:
+    """Changes since an earlier version of the list."""
 
     version: int
     boxes: tuple[BoxEntry, ...]
@@ -139,17 +139,17 @@
 
 
 def box_number(name: str) -> int:
-    """The opaque number of a box, from its name alone."""
+    """The number of a box, computed from its name alone."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
-def read_response(body: bytes) -> BoxList | Changes:
-    """Read either answer of the service. Raises ListError."""
+def read_response(body: bytes) -> BoxList | ListDelta:
+    """Read a full list or a delta. Raises ListError."""
     if len(body) > MAX_BYTES:
-        raise ListError(f"a list of more than {MAX_BYTES} bytes")
+        raise ListError(f"box list of {len(body)} bytes, at most {MAX_BYTES} allowed")
     try:
         answer = _snake(msgspec.json.decode(body, type=dict[str, Any]))
-        # lax: protobuf's JSON may write whole numbers as strings, and every number of a Struct as a float
+        # not strict: protobuf's JSON may write whole numbers as strings, and numbers of a Struct as floats
         if "system_version_info" in answer:
             return _read_delta(msgspec.convert(answer, _Delta, strict=False))
         return _read_full(msgspec.convert(answer, _Full, strict=False))
@@ -158,17 +158,17 @@
 
 
 def _snake(value: Any) -> Any:
-    """Field names in either spelling that protobuf's JSON mapping allows (lbEndpoints, lb_endpoints)."""
+    """Convert field names to snake case; protobuf's JSON mapping allows lbEndpoints and lb_endpoints."""
     if isinstance(value, dict):
-        return {_CAPITAL.sub(r"_\1", key).lower(): _snake(found) for key, found in value.items()}
+        return {_CAPITAL.sub(r"_\1", key).lower(): _snake(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_snake(found) for found in value]
+        return [_snake(item) for item in value]
     return value
 
 
 def _version(text: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > 18:
-        raise ListError("the version is no whole number")
+        raise ListError("version is not a whole number of at most 18 digits")
     return int(text)
 
 
@@ -180,47 +180,47 @@
         for endpoint in group.lb_endpoints
     ]
     if len(boxes) > MAX_BOXES:
-        raise ListError(f"more than {MAX_BOXES} boxes")
+        raise ListError(f"{len(boxes)} boxes, at most {MAX_BOXES} allowed")
     if len({box.number for box in boxes}) < len(boxes):
         names: set[str] = set()
-        twice = next((b.name for b in boxes if b.name in names or names.add(b.name)), "two names")  # type: ignore[func-returns-value]
-        raise ListError(f"{twice}: listed twice")
+        repeated = next((b.name for b in boxes if b.name in names or names.add(b.name)), "two names")  # type: ignore[func-returns-value]
+        raise ListError(f"{repeated}: listed twice")
     return BoxList(_version(full.version_info), tuple(boxes))
 
 
-def _read_delta(delta: _Delta) -> Changes:
+def _read_delta(delta: _Delta) -> ListDelta:
     boxes = []
     for resource in delta.resources:
         if resource.name != resource.resource.metadata.filter_metadata.foxlift.name:
-            raise ListError(f"{resource.name}: the resource has another name than its box")
+            raise ListError(f"{resource.name}: the resource's name is not that of its box")
         boxes.append(_entry(resource.resource, resource.resource.metadata.filter_metadata.foxlift.zone))
-    return Changes(_version(delta.system_version_info), tuple(boxes), tuple(delta.removed_resources))
+    return ListDelta(_version(delta.system_version_info), tuple(boxes), tuple(delta.removed_resources))
 
 
 def _entry(endpoint: _LbEndpoint, zone: str) -> BoxEntry:
-    own, address = endpoint.metadata.filter_metadata.foxlift, endpoint.endpoint.address.socket_address
+    foxlift, address = endpoint.metadata.filter_metadata.foxlift, endpoint.endpoint.address.socket_address
     if endpoint.health_status not in _STATUS:
-        raise ListError(f"{own.name}: health_status is not known")
+        raise ListError(f"{foxlift.name}: health_status {endpoint.health_status[:40]!r} is unknown")
     return BoxEntry(
-        name=own.name,
-        number=box_number(own.name),
+        name=foxlift.name,
+        number=box_number(foxlift.name),
         host=address.address,
         port=address.port_value,
-        zone=zone or own.zone,
-        kind=own.kind,
-        cell=own.cell,
+        zone=zone or foxlift.zone,
+        kind=foxlift.kind,
+        cell=foxlift.cell,
         status=_STATUS[endpoint.health_status],
         weight=endpoint.load_balancing_weight / 1000,
-        started_unix_ms=own.started_unix_ms,
+        started_unix_ms=foxlift.started_unix_ms,
     )
 
 
 def encode_full(boxes: BoxList) -> bytes:
-    """The list as a DiscoveryResponse; also the form in which it is cached on disk."""
+    """Encode a list as a DiscoveryResponse, which is also its form on disk."""
     by_zone: dict[str, list[Any]] = {}
     for box in boxes.boxes:
         by_zone.setdefault(box.zone, []).append(lb_endpoint(box))
-    groups = [{"locality": {"zone": zone}, "lb_endpoints": found} for zone, found in by_zone.items()]
+    groups = [{"locality": {"zone": zone}, "lb_endpoints": endpoints} for zone, endpoints in by_zone.items()]
     assignment = {"@type": TYPE_URL, "cluster_name": "media", "endpoints": groups}
     return msgspec.json.encode(
         {"version_info": str(boxes.version), "type_url": TYPE_URL, "resources": [assignment]}
@@ -228,9 +228,9 @@
 
 
 def lb_endpoint(box: BoxEntry) -> dict[str, Any]:
-    """One box as an LbEndpoint."""
+    """Encode one box as an LbEndpoint."""
     status = {v: k for k, v in reversed(_STATUS.items())}[box.status]
-    own = {
+    foxlift = {
         "name": box.name,
         "cell": box.cell,
         "kind": box.kind,
@@ -241,5 +241,5 @@
         "endpoint": {"address": {"socket_address": {"address": box.host, "port_value": box.port}}},
         "health_status": status,
         "load_balancing_weight": max(round(box.weight * 1000), 1),
-        "metadata": {"filter_metadata": {"foxlift": own}},
+        "metadata": {"filter_metadata": {"foxlift": foxlift}},
     }
--- a/foxlift/membership/watch.py
+++ b/foxlift/membership/watch.py
@@ -1,13 +1,13 @@
-"""The box list's client as a state machine: what is held, what is asked next, what the module is told.
+"""The box list's client as a state machine: the list it has, the next request, what is published.
 
-    state      event                    next       what is done
-    START      PollDue                  ASKING     tell the cached list, if any; ask for the whole list
-    ASKING     ListAnswer newer         ASKING     tell, cache, ask again from the new version
-    ASKING     ListAnswer not newer     ASKING     pass over (a late answer must not undo a drain); ask again
-    ASKING     ListFailed               WAITING    tell FAILED; ask again after a wait that doubles
-    WAITING    PollDue                  ASKING     ask from the version held
+    state     event                         next      what is done
+    START     PollDue                       POLLING   publish the cached list, if any; request the full list
+    POLLING   ListReceived, newer           POLLING   publish and cache it, poll again from the new version
+    POLLING   ListReceived, nothing newer   POLLING   ignore it (a late response must not undo a drain); poll
+    POLLING   ListFailed                    WAITING   publish FAILED, poll again after a back-off that doubles
+    WAITING   PollDue                       POLLING   poll from the current version
 
-A list that cannot be read counts as a failure, and the next question is for the whole list.
+An unreadable list counts as a failure, and the next request is for the full list.
 """
 
 from __future__ import annotations
@@ -17,53 +17,56 @@
 from enum import Enum
 
 from foxlift import interface as fl
-from foxlift.membership.boxlist import BoxEntry, BoxList, Changes
+from foxlift.membership.boxlist import BoxEntry, BoxList, ListDelta
 
-RETRY_MAX = 16  # the wait between failed questions grows up to so many times the first
+MAX_RETRY_FACTOR = 16  # times the first back-off after a failed poll: the longest one
 
 
 class _State(Enum):
     START = "start"
-    ASKING = "asking"
+    POLLING = "asking"
     WAITING = "waiting"
 
 
 @dataclass(frozen=True, slots=True)
 class PollDue:
-    """It is time to ask; also the first event of all."""
+    """The next poll is due; also the very first event."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListAnswer:
-    """The service answered; None: nothing has changed within the poll's time."""
+class ListReceived:
+    """The service responded. None: nothing has changed within the poll's duration."""
 
-    news: BoxList | Changes | None
+    update: BoxList | ListDelta | None
 
 
 @dataclass(frozen=True, slots=True)
 class ListFailed:
-    """The service did not answer, or not in a form that can be read."""
+    """The service did not respond, or its response is unreadable."""
 
     unreadable: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Ask the service: for changes after this version, or for the whole list where it is None."""
+    """Request the changes since this version, or the full list where it is None."""
 
     version: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class PollLater:
-    """Send PollDue after so many milliseconds."""
+class SchedulePoll:
+    """Deliver PollDue after `delay_ms`."""
 
     delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class TellList:
-    """Tell the module; `boxes` are those that the event names, `removed` boxes that it says are gone."""
+class PublishList:
+    """Report the list to the module.
+
+    `boxes`: those of the list or the delta, removed ones with status GONE.
+    """
 
     kind: fl.ListKind
     boxes: tuple[BoxEntry, ...] = ()
@@ -71,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheList:
-    """Keep this list on disk for a restart."""
+    """Store this list on disk for a restart."""
 
     boxes: BoxList
 
 
-Event = PollDue | ListAnswer | ListFailed
-Action = Poll | PollLater | TellList | CacheList
+Event = PollDue | ListReceived | ListFailed
+Action = Poll | SchedulePoll | PublishList | CacheList
 
 
 class ListWatch:
@@ -88,71 +91,71 @@
         self._random = random.Random(seed)
         self._state = _State.START
         self._failures = 0
-        self._whole_next = True
+        self._full_next = True
         self.version: int | None = None
         self.boxes: dict[str, BoxEntry] = {}
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in; no clock is needed, the caller keeps the waits."""
+        """Handle one event. No clock is needed: the caller runs the timers."""
         if isinstance(event, PollDue):
-            return self._due()
-        if self._state is not _State.ASKING:
+            return self._start_poll()
+        if self._state is not _State.POLLING:
             return []
         if isinstance(event, ListFailed):
             return self._failed(event)
-        return self._answered(event.news)
+        return self._received(event.update)
 
-    def _due(self) -> list[Action]:
-        told: list[Action] = []
+    def _start_poll(self) -> list[Action]:
+        actions: list[Action] = []
         if self._state is _State.START and self._cached is not None:
             self.boxes = {box.name: box for box in self._cached.boxes}
-            told.append(TellList(fl.ListKind.CACHED, self._cached.boxes))
-        self._state = _State.ASKING
-        return [*told, self._poll()]
+            actions.append(PublishList(fl.ListKind.CACHED, self._cached.boxes))
+        self._state = _State.POLLING
+        return [*actions, self._poll()]
 
     def _poll(self) -> Poll:
-        return Poll(None if self._whole_next else self.version)
+        return Poll(None if self._full_next else self.version)
 
     def _failed(self, event: ListFailed) -> list[Action]:
         self._state = _State.WAITING
-        self._whole_next |= event.unreadable
-        wait = self._retry_ms * min(2**self._failures, RETRY_MAX)
+        self._full_next |= event.unreadable
+        wait_ms = self._retry_ms * min(2**self._failures, MAX_RETRY_FACTOR)
         self._failures += 1
-        # spread, so that directors that lost the service together do not come back together
-        delay = wait * self._random.uniform(0.5, 1.0)
-        return [TellList(fl.ListKind.FAILED), PollLater(delay)]
+        # random, so that directors that lost the service together do not all poll at once
+        delay_ms = wait_ms * self._random.uniform(0.5, 1.0)
+        return [PublishList(fl.ListKind.FAILED), SchedulePoll(delay_ms)]
 
-    def _answered(self, news: BoxList | Changes | None) -> list[Action]:
+    def _received(self, update: BoxList | ListDelta | None) -> list[Action]:
         self._failures = 0
-        if news is None:
+        if update is None:
             return [self._poll()]
-        if isinstance(news, Changes):
-            if self.version is None or self._whole_next:
-                self._whole_next = True  # changes to a list that is not held
-            elif news.version > self.version:
-                return self._take(news)
-        elif self.version is None or self._whole_next or news.version > self.version:
-            return self._take(news)
+        if isinstance(update, ListDelta):
+            if self.version is None or self._full_next:
+                self._full_next = True  # a delta to a list that this client does not have
+            elif update.version > self.version:
+                return self._apply(update)
+        elif self.version is None or self._full_next or update.version > self.version:
+            return self._apply(update)
         else:
-            # an old answer, or a service that went back with its own restart: the whole list tells which
-            self._whole_next = True
+            # a late response, or a service restarted with an older version: the full list shows which
+            self._full_next = True
         return [self._poll()]
 
-    def _take(self, news: BoxList | Changes) -> list[Action]:
-        self._whole_next = False
-        self.version = news.version
-        if isinstance(news, BoxList):
-            self.boxes = {box.name: box for box in news.boxes}
-            told = TellList(fl.ListKind.FULL, news.boxes)
+    def _apply(self, update: BoxList | ListDelta) -> list[Action]:
+        self._full_next = False
+        self.version = update.version
+        if isinstance(update, BoxList):
+            self.boxes = {box.name: box for box in update.boxes}
+            publication = PublishList(fl.ListKind.FULL, update.boxes)
         else:
-            gone = [_gone(self.boxes[name]) for name in news.removed if name in self.boxes]
-            self.boxes.update({box.name: box for box in news.boxes})
-            for box in gone:
+            removed = [_as_gone(self.boxes[name]) for name in update.removed if name in self.boxes]
+            self.boxes.update({box.name: box for box in update.boxes})
+            for box in removed:
                 del self.boxes[box.name]
-            told = TellList(fl.ListKind.DELTA, (*news.boxes, *gone))
-        held = BoxList(news.version, tuple(self.boxes.values()))
-        return [told, CacheList(held), self._poll()]
+            publication = PublishList(fl.ListKind.DELTA, (*update.boxes, *removed))
+        current = BoxList(update.version, tuple(self.boxes.values()))
+        return [publication, CacheList(current), self._poll()]
 
 
-def _gone(box: BoxEntry) -> BoxEntry:
+def _as_gone(box: BoxEntry) -> BoxEntry:
     return replace(box, status=fl.Status.GONE)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,15 +15,15 @@
     BoxEntry,
     BoxList,
     CacheList,
-    Changes,
-    ListAnswer,
+    ListDelta,
     ListError,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
     read_response,
 )
 from foxlift.membership.boxlist import box_number, encode_full, lb_endpoint
@@ -63,7 +63,7 @@
         "resources": [{"name": "a", "version": "9", "resource": lb_endpoint(box("a", fl.Status.DRAINING))}],
         "removed_resources": ["b"],
     }
-    assert read_response(json.dumps(body).encode()) == Changes(9, (box("a", fl.Status.DRAINING),), ("b",))
+    assert read_response(json.dumps(body).encode()) == ListDelta(9, (box("a", fl.Status.DRAINING),), ("b",))
 
 
 def _damage(value: Any, path: list[Any], new: Any) -> Any:
@@ -114,17 +114,17 @@
 def started(version: int = 5) -> ListWatch:
     watch = ListWatch(None, 100.0, 1)
     assert watch.handle(PollDue()) == [Poll(None)]
-    watch.handle(ListAnswer(BoxList(version, (box("a"), box("b")))))
+    watch.handle(ListReceived(BoxList(version, (box("a"), box("b")))))
     return watch
 
 
 def test_the_cached_list_is_told_first_and_the_whole_one_is_asked_for() -> None:
     cached = BoxList(5, (box("a"),))
     watch = ListWatch(cached, 100.0, 1)
-    assert watch.handle(PollDue()) == [TellList(fl.ListKind.CACHED, cached.boxes), Poll(None)]
+    assert watch.handle(PollDue()) == [PublishList(fl.ListKind.CACHED, cached.boxes), Poll(None)]
     news = BoxList(3, (box("b"),))  # the service's versions may have begun anew
-    assert watch.handle(ListAnswer(news)) == [
-        TellList(fl.ListKind.FULL, news.boxes),
+    assert watch.handle(ListReceived(news)) == [
+        PublishList(fl.ListKind.FULL, news.boxes),
         CacheList(news),
         Poll(3),
     ]
@@ -132,8 +132,8 @@
 
 def test_changes_are_told_as_they_came_and_what_is_gone_with_its_status() -> None:
     watch = started()
-    told, cached, poll = watch.handle(ListAnswer(Changes(6, (box("c"),), ("a", "nobody"))))
-    assert told == TellList(fl.ListKind.DELTA, (box("c"), replace(box("a"), status=fl.Status.GONE)))
+    told, cached, poll = watch.handle(ListReceived(ListDelta(6, (box("c"),), ("a", "nobody"))))
+    assert told == PublishList(fl.ListKind.DELTA, (box("c"), replace(box("a"), status=fl.Status.GONE)))
     assert isinstance(cached, CacheList)
     assert {b.name for b in cached.boxes.boxes} == {"b", "c"}
     assert poll == Poll(6)
@@ -143,12 +143,12 @@
 def test_old_news_undo_nothing(version: int) -> None:
     watch = started()
     old = box("a", fl.Status.DRAINING)
-    assert watch.handle(ListAnswer(Changes(version, (old,), ()))) == [Poll(5)]
+    assert watch.handle(ListReceived(ListDelta(version, (old,), ()))) == [Poll(5)]
     # an old whole list may be a late answer or a service that went back: asked for whole, it says which
-    assert watch.handle(ListAnswer(BoxList(version, (old,)))) == [Poll(None)]
+    assert watch.handle(ListReceived(BoxList(version, (old,)))) == [Poll(None)]
     assert watch.boxes["a"].status is fl.Status.READY
-    told = watch.handle(ListAnswer(BoxList(version, (old,))))[0]
-    assert told == TellList(fl.ListKind.FULL, (old,))
+    told = watch.handle(ListReceived(BoxList(version, (old,))))[0]
+    assert told == PublishList(fl.ListKind.FULL, (old,))
 
 
 def test_failures_are_told_and_asked_again_ever_later() -> None:
@@ -156,8 +156,8 @@
     waits = []
     for _ in range(8):
         told, later = watch.handle(ListFailed())
-        assert told == TellList(fl.ListKind.FAILED)
-        assert isinstance(later, PollLater)
+        assert told == PublishList(fl.ListKind.FAILED)
+        assert isinstance(later, SchedulePoll)
         waits.append(later.delay_ms)
         assert watch.handle(PollDue()) == [Poll(5)]
     assert 50 <= waits[0] <= 100
@@ -172,15 +172,15 @@
         st.one_of(
             st.builds(ListFailed, st.booleans()),
             st.just(PollDue()),
-            st.just(ListAnswer(None)),
+            st.just(ListReceived(None)),
             st.builds(
-                lambda v, names, gone: ListAnswer(Changes(v, tuple(map(box, names)), tuple(gone))),
+                lambda v, names, gone: ListReceived(ListDelta(v, tuple(map(box, names)), tuple(gone))),
                 st.integers(0, 9),
                 st.sets(st.sampled_from("abc")),
                 st.sets(st.sampled_from("abc")),
             ),
             st.builds(
-                lambda v, names: ListAnswer(BoxList(v, tuple(map(box, names)))),
+                lambda v, names: ListReceived(BoxList(v, tuple(map(box, names)))),
                 st.integers(0, 9),
                 st.sets(st.sampled_from("abc")),
             ),
@@ -194,9 +194,9 @@
     questions = 0
     for event in [PollDue(), *script]:
         actions = watch.handle(event)
-        questions += sum(isinstance(a, Poll | PollLater) for a in actions)
+        questions += sum(isinstance(a, Poll | SchedulePoll) for a in actions)
         for action in actions:
-            if isinstance(action, TellList) and action.kind is not fl.ListKind.FAILED:
+            if isinstance(action, PublishList) and action.kind is not fl.ListKind.FAILED:
                 if action.kind is fl.ListKind.FULL:
                     told = {}
                 told.update({b.name: b for b in action.boxes})
