--- a/bench/scale/beside_daemons.py
+++ b/bench/scale/beside_daemons.py
@@ -36,11 +36,11 @@
 from foxlift.peers import PeerState
 from foxlift.rehearsal.processes import Child
 from foxlift.standins.fleet import BoxPlan, Fleet, FleetPlan
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 ZONES = ("east", "west")
 SERVERS = 4
-NO_SIGHTS: dict[str, Sight] = {}
+NO_SIGHTS: dict[str, ZoneObservation] = {}
 """A daemon without viewers has met no media server lately, and reports none."""
 REPORT_SIZE = "B"
 QUANTITY_OF_UNIT = {"1/s": "messages", "B/s": "bytes", REPORT_SIZE: "bytes of one report"}
--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -17,8 +17,8 @@
 from foxlift.peers.messages import MAX_UPDATES, PeerState, Ping, Update
 from foxlift.platform import feed
 from foxlift.recovery import takeover
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Report, Sight
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, Report, ZoneObservation
 from foxlift.zones.plan import Plan, Planner
 
 ZONES = tuple(f"zone-{number}" for number in range(9))
@@ -163,13 +163,13 @@
 
 
 # ---- Plan makers ------------------------------------------------------------------------------------------
-def _sights() -> dict[str, Sight]:
-    return {zone: Sight(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in ZONES}
+def _sights() -> dict[str, ZoneObservation]:
+    return {zone: ZoneObservation(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in ZONES}
 
 
 def _report_bytes(zones: int) -> Sample:
     names = [f"zone-{number}" for number in range(zones)]
-    sights = {zone: Sight(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in names}
+    sights = {zone: ZoneObservation(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in names}
     message = ReportMessage("director-00001", PEER_RUN, names[0], 1.25, 0.9995, sights)
     return exact(float(len(msgspec.json.encode(message))))
 
@@ -177,23 +177,23 @@
 def _evidence(directors: int) -> Evidence:
     evidence = Evidence(ZONES)
     for number, name in enumerate(director_names(directors)):
-        evidence.hear(Report(name, PEER_RUN, ZONES[number % 9], 0.0, 0.0, 1.0, _sights()))
+        evidence.add(Report(name, PEER_RUN, ZONES[number % 9], 0.0, 0.0, 1.0, _sights()))
     return evidence
 
 
 def _judging(directors: int) -> Sample:
     evidence = _evidence(directors)
-    return processor_ms(lambda: evidence.judge(100.0))
+    return processor_ms(lambda: evidence.assess(100.0))
 
 
 def _telling_a_plan(directors: int) -> Sample:
     names = director_names(directors)
-    follower = common.Common(
+    follower = agreement.PlanAgreement(
         names[0], tuple(names[1:6]), Planner(REGIONS), Evidence(ZONES), Proposer("r", 1), seed=1
     )
-    follower.handle(0.0, common.There(frozenset(names)))
-    follower.handle(0.0, common.Told(Plan(1), 0.0))
-    return processor_ms(lambda: follower.handle(0.0, common.TellDue()), rounds=31)
+    follower.handle(0.0, agreement.MembershipChanged(frozenset(names)))
+    follower.handle(0.0, agreement.PlanReceived(Plan(1), 0.0))
+    return processor_ms(lambda: follower.handle(0.0, agreement.GossipDue()), rounds=31)
 
 
 # ---- The server list --------------------------------------------------------------------------------------
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -65,7 +65,7 @@
     Finding(
         Kind.BOUND,
         "foxlift/zones/evidence.py",
-        "`MOST_REPORTS`",
+        "`MAX_REPORTS`",
         "reports of the last directors are dropped without a word",
         worked_out="{{worked:max_reports}} of 4,200 needed",
         mend="one report a zone, gathered there",
@@ -307,8 +307,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/zones/common.py",
-        "`_tell`",
+        "foxlift/zones/agreement.py",
+        "`_gossip`",
         "all names are sorted to draw three",
         _scan("telling a plan on", CONTROL, "directors"),
         DIRECTORS,
@@ -318,7 +318,7 @@
     Finding(
         Kind.WORK,
         "foxlift/zones/evidence.py",
-        "`judge`",
+        "`assess`",
         "all reports are judged anew, at the maker that proposes",
         _scan("judgement of nine zones", PLAN_MAKERS, "directors"),
         DIRECTORS,
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -26,7 +26,7 @@
 from foxlift.http import Answer, Exchange, Failure
 from foxlift.store import DiskFiles
 from foxlift.telemetry import Counters
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 STALL_MS = 250.0
 HOLLOW_SETTINGS = """
@@ -96,7 +96,7 @@
 class HollowHost:
     """Takes the daemon's place. There are no viewers, so nothing that concerns one is ever asked of it."""
 
-    sight_of_zone: dict[str, Sight]
+    sight_of_zone: dict[str, ZoneObservation]
     was_superseded: bool = False
     plans_followed: list[events.Event] = field(default_factory=list)
 
@@ -104,7 +104,7 @@
         """Record an event for the core: of these there are only plans to follow."""
         self.plans_followed.append(event)
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """The counted load."""
         return self.sight_of_zone
 
@@ -152,7 +152,10 @@
     """One director's control parts. `start` binds its listener."""
 
     def __init__(
-        self, config: DirectorConfig, sight_of_zone: dict[str, Sight], loop: asyncio.AbstractEventLoop
+        self,
+        config: DirectorConfig,
+        sight_of_zone: dict[str, ZoneObservation],
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.name = config.name
         self.files = DiskFiles(Path(config.state), loop)
@@ -173,8 +176,8 @@
         self.files.executor.shutdown(wait=False)
 
 
-def load_of_zones(plan: FleetPlan) -> dict[str, Sight]:
+def load_of_zones(plan: FleetPlan) -> dict[str, ZoneObservation]:
     """A counted load: a quarter of what each zone's servers give is asked of them."""
     gives = 700000.0 * plan.servers_per_zone
-    sight = Sight(plan.servers_per_zone, gives=gives, asked=gives / 4, demand=gives / 16)
+    sight = ZoneObservation(plan.servers_per_zone, gives=gives, asked=gives / 4, demand=gives / 16)
     return dict.fromkeys(plan.zones, sight)
--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -21,9 +21,9 @@
 from bench.scale.virtual_fleet import request_bytes
 from foxlift.consensus import Proposer
 from foxlift.director.cluster.zone_planning import REPORT_INTERVAL_MS, PlanMessage, ReportMessage
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Report, Sight
-from foxlift.zones.plan import Plan, Planner, State, ZonePlan
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, Report, ZoneObservation
+from foxlift.zones.plan import Plan, Planner, ZonePlan, ZoneState
 
 REGION_OF_ZONE = {f"r{region}-z{zone}": f"r{region}" for region in range(3) for zone in range(3)}
 MAKERS = 5
@@ -44,21 +44,21 @@
     return list(REGION_OF_ZONE)[number % len(REGION_OF_ZONE)]
 
 
-def sights() -> dict[str, Sight]:
+def sights() -> dict[str, ZoneObservation]:
     """What a director in service reports: every zone, with rates as long as measured ones are."""
-    sight = Sight(12, 0, 0, 1, 0.9871234567891234, 8400000.0, 5123456.789, 10234.5678)
+    sight = ZoneObservation(12, 0, 0, 1, 0.9871234567891234, 8400000.0, 5123456.789, 10234.5678)
     return dict.fromkeys(REGION_OF_ZONE, sight)
 
 
 def moved_plan() -> Plan:
     """A plan that empties one zone into two others."""
     zones = list(REGION_OF_ZONE)
-    return Plan(17, {zones[0]: ZonePlan(State.EMPTIED, 1.0, {zones[1]: 0.625, zones[2]: 0.375})})
+    return Plan(17, {zones[0]: ZonePlan(ZoneState.EMPTIED, 1.0, {zones[1]: 0.625, zones[2]: 0.375})})
 
 
-def made(name: str, size: int) -> common.Common:
+def made(name: str, size: int) -> agreement.PlanAgreement:
     """A director that goes by a plan and knows that all are there."""
-    director = common.Common(
+    director = agreement.PlanAgreement(
         name,
         tuple(names_of(size)[:MAKERS]),
         Planner(dict(REGION_OF_ZONE)),
@@ -68,7 +68,7 @@
         plan=moved_plan(),
     )
     director.start(0.0)
-    director.handle(0.0, common.There(frozenset(names_of(size))))
+    director.handle(0.0, agreement.MembershipChanged(frozenset(names_of(size))))
     return director
 
 
@@ -80,11 +80,11 @@
     report = msgspec.json.encode(ReportMessage(names[-1], RUN, zone_of(size), 0.25, 1.0, sights()))
     told = msgspec.json.encode(PlanMessage(names[-1], RUN, moved_plan(), 1234.5))
     reports_a_second = MAKERS * 1000.0 / REPORT_INTERVAL_MS
-    tells_a_second = common.TELL_TO * 1000.0 / common.TELL_MS
-    looking = processor_of(lambda: director.handle(1.0, common.There(frozenset(names))), 50)
+    tells_a_second = agreement.GOSSIP_FANOUT * 1000.0 / agreement.GOSSIP_INTERVAL_MS
+    looking = processor_of(lambda: director.handle(1.0, agreement.MembershipChanged(frozenset(names))), 50)
     telling = processor_of(lambda: _tell_new(director), 50)
     work = [
-        look * 1000.0 / REPORT_INTERVAL_MS + tell * 1000.0 / common.TELL_MS
+        look * 1000.0 / REPORT_INTERVAL_MS + tell * 1000.0 / agreement.GOSSIP_INTERVAL_MS
         for look, tell in zip(looking, telling, strict=True)
     ]
     return [
@@ -101,9 +101,9 @@
     ]
 
 
-def _tell_new(director: common.Common) -> None:
+def _tell_new(director: agreement.PlanAgreement) -> None:
     director._tells = 0
-    director.handle(1.0, common.TellDue())
+    director.handle(1.0, agreement.GossipDue())
 
 
 def maker(size: int, seed: int) -> list[Figure]:
@@ -122,12 +122,12 @@
         at += REPORT_INTERVAL_MS
         for body in bodies:
             message = msgspec.json.decode(body, type=ReportMessage)
-            director.handle(at, common.Heard(_report(message, at)))
+            director.handle(at, agreement.ReportReceived(_report(message, at)))
 
     _, memory = memory_of(hear_all)
     hearing = processor_of(hear_all, REPEATS)
     judging = processor_of(
-        lambda: director.planner.next(at, director.evidence.judge(at), director.plan), REPEATS
+        lambda: director.planner.next(at, director.evidence.assess(at), director.plan), REPEATS
     )
     received = sum(request_bytes("/peers/zones", body) for body in bodies) * 1000.0 / REPORT_INTERVAL_MS
     return [
@@ -136,7 +136,11 @@
         mean_figure(
             "processor of reading reports", "s/s", [t * 1000.0 / REPORT_INTERVAL_MS for t in hearing]
         ),
-        mean_figure("processor of judging zones", "s/s", [t * 1000.0 / common.EVERY_MS for t in judging]),
+        mean_figure(
+            "processor of judging zones",
+            "s/s",
+            [t * 1000.0 / agreement.PLANNING_INTERVAL_MS for t in judging],
+        ),
         Figure("memory of reports", "B", float(memory), 0.0),
         Figure("reports that a maker has no place for", "1", float(size - len(director.evidence)), 0.0),
     ]
@@ -165,7 +169,7 @@
     first_99: list[float] = []
 
     def everywhere() -> bool:
-        following = sum(fleet.followed[name].of(lost).state is State.EMPTIED for name in fleet.up)
+        following = sum(fleet.followed[name].of(lost).state is ZoneState.EMPTIED for name in fleet.up)
         if not first_99 and following >= math.ceil(0.99 * len(fleet.up)):
             first_99.append(fleet.now)
         return following == len(fleet.up)
--- a/bench/scale/shared_view.py
+++ b/bench/scale/shared_view.py
@@ -97,13 +97,13 @@
         self.table = SharedTable(base, name)
         self.peers = self.table  # type: ignore[assignment]
 
-    def _learn(self, update: Update) -> None:
+    def _apply(self, update: Update) -> None:
         peer = self.table.get(update.name)
         if peer is not None and update.rank > (peer.boot_epoch, peer.incarnation, peer.state):
             self.table.make_private(update.name)
         super()._apply(update)
 
-    def _next(self) -> str | None:
+    def _next_target(self) -> str | None:
         """As the program's, but the whole table is gone through once a round and not at every probe."""
         absent = self.table.absent()
         self._probe_count += 1
--- a/bench/scale/worked_out.py
+++ b/bench/scale/worked_out.py
@@ -113,7 +113,7 @@
         "hellos_per_start": WorkedOut(f"{plan.directors - 1:,}", "one to each peer"),
         "hellos_per_s": WorkedOut(f"{hellos_per_s():,.0f}/s", "restarts a second times peers"),
         "max_named_peers": WorkedOut(f"{max_named_peers():,}", "`PeersConfig.others`"),
-        "max_reports": WorkedOut(f"{evidence.MOST_REPORTS:,}", "`MOST_REPORTS`"),
+        "max_reports": WorkedOut(f"{evidence.MAX_REPORTS:,}", "`MAX_REPORTS`"),
         "max_handovers": WorkedOut(f"{core.MAX_HANDOVERS:,}", "`MAX_HANDOVERS`"),
         "descriptors_needed": WorkedOut(
             f"{descriptors_needed():,}", f"so that {plan.connections_per_director:,} connections are admitted"
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -16,7 +16,7 @@
 
 from zones_world import Fleet, anything, broken
 
-from foxlift.zones.plan import State
+from foxlift.zones.plan import ZoneState
 
 
 def _one(seed: int) -> tuple[bool, int]:
@@ -36,7 +36,7 @@
             fleet = Fleet(seed, each=each)
             fleet.run(5000.0 + 137.0 * seed)
             fleet.dead_zones, begin, before = {"n1"}, fleet.now, fleet.messages
-            took.append(fleet.run(20_000.0, lambda f=fleet: f.all_follow("n1", State.EMPTIED)) - begin)  # type: ignore[misc]
+            took.append(fleet.run(20_000.0, lambda f=fleet: f.all_follow("n1", ZoneState.EMPTIED)) - begin)  # type: ignore[misc]
             sent += (fleet.messages - before) / took[-1] * 1000 / len(fleet.names) / seeds
         print(
             f"| {6 * each} | {seeds} | {min(took) / 1000:.2f}, {max(took) / 1000:.2f} | {sent:.1f} |",
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -38,7 +38,7 @@
 from foxlift.store import FilePort, IntentBook
 from foxlift.telemetry import Counters
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 UNKNOWN_BOOT = "-"  # no box process is called so: a set-up for it is refused, and the refusal tells the name
 MAX_ROUTINGS = 4  # times that one request is looked for elsewhere
@@ -396,7 +396,7 @@
         until = daemon.timeline.unix_s() + held.parked_ms / 1000 if held.parked_ms else 0.0
         return events.Adoptee(token, title, held.set_up, held.rung, held.path_token, held.at, until)
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """See `Host`."""
         return self.daemon.core.sights(self.daemon.timeline.now())
 
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -10,7 +10,7 @@
 from foxlift.decide.claims import Why
 from foxlift.director import events
 from foxlift.http import Answer, Exchange, Failure, Headers
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,5 +59,5 @@
     def superseded(self) -> None:
         """Another process has this director's name: do nothing more."""
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -16,8 +16,8 @@
 from foxlift.director.cluster.messages import JSON_HEADERS, RegisterRequest, RegisterResponse
 from foxlift.director.cluster.server import PeerServer
 from foxlift.http import Exchange
-from foxlift.zones.common import KEY as PLAN_KEY
-from foxlift.zones.common import LASTS_MS as PLAN_LASTS_MS
+from foxlift.zones.agreement import REGISTER_END_UNIX_MS as PLAN_END_UNIX_MS
+from foxlift.zones.agreement import REGISTER_KEY as PLAN_KEY
 
 REGISTER_TIMEOUT_MS = 400.0
 _decode_response = msgspec.json.Decoder(RegisterResponse).decode
@@ -44,7 +44,7 @@
         apart = peers.clocks_apart_ms
         self._tokens = Replica(peers.longest_token_s * 1000, apart, book.begun_at, book.records)
         if self._context.name in peers.makers:
-            self._plan = Replica(PLAN_LASTS_MS, apart, book.begun_at, book.records)
+            self._plan = Replica(PLAN_END_UNIX_MS, apart, book.begun_at, book.records)
         self._context.log.info("registers vouched for", lost=disk_lost, held=len(book.records))
 
     def handle(self, ask: RegisterAsk, reply: Reply) -> None:
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -38,7 +38,7 @@
 from foxlift.peers.messages import PeerState
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 STOP_TIME_MS = 200.0
 
@@ -173,7 +173,7 @@
         """Names of those that are believed to be there, this director first."""
         return self.membership.alive()
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
         return self._host.zone_observations()
 
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -17,9 +17,9 @@
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import BootEpoch, PeerName
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Report, Sight
-from foxlift.zones.plan import Order, Plan, Planner, State
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, Report, ZoneObservation
+from foxlift.zones.plan import OperatorOrder, Plan, Planner, ZoneState
 
 REPORT_INTERVAL_MS = 1000.0
 MIN_SHARE = 1e-6  # of a zone that is neither chosen nor left by the plan
@@ -36,7 +36,7 @@
     zone: ZoneName
     lag_ms: float
     heard: float
-    sights: Annotated[dict[ZoneName, Sight], Meta(max_length=MAX_ZONES)]
+    sights: Annotated[dict[ZoneName, ZoneObservation], Meta(max_length=MAX_ZONES)]
 
 
 class PlanMessage(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     """An operator's order; `order` None takes it back. `sender` empty: from the operator."""
 
     zone: ZoneName
-    order: Order | None = None
+    order: OperatorOrder | None = None
     sender: Annotated[str, Meta(max_length=100)] = ""
     run: BootEpoch = 0
 
@@ -71,7 +71,7 @@
     def alive(self) -> list[str]:
         """Names of those that are believed to be there, this director first."""
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
 
     def feed(self, event: events.Event) -> None:
@@ -85,7 +85,7 @@
         config = context.config
         peers, zones = config.peers, config.fleet.zones
         self._context, self._config, self._network = context, config, network
-        self._common = common.Common(
+        self._agreement = agreement.PlanAgreement(
             context.name,
             peers.makers,
             Planner(dict(zip(zones, peers.regions or zones, strict=True))),
@@ -97,23 +97,23 @@
 
     def start(self) -> None:
         """Begin to report and to plan."""
-        self._carry_out(self._common.start(self._context.now()))
+        self._carry_out(self._agreement.start(self._context.now()))
         self._report_due_at = self._context.now() + REPORT_INTERVAL_MS
         self._report()
 
-    def _handle(self, event: common.Event) -> None:
+    def _handle(self, event: agreement.Event) -> None:
         if not self._context.closed:
-            self._carry_out(self._common.handle(self._context.now(), event))
+            self._carry_out(self._agreement.handle(self._context.now(), event))
 
-    def _carry_out(self, actions: list[common.Action]) -> None:
+    def _carry_out(self, actions: list[agreement.Action]) -> None:
         for action in actions:
             match action:
-                case common.StartTimer(delay_ms, due):
+                case agreement.StartTimer(delay_ms, due):
                     self._context.later(delay_ms, partial(self._handle, due))
-                case common.Tell(to, plan, made):
+                case agreement.SendPlan(to, plan, made):
                     message = PlanMessage(self._context.name, self._context.boot_epoch, plan, made)
                     self._network.notify(to, "/peers/plan", msgspec.json.encode(message))
-                case common.Follow(plan):
+                case agreement.ApplyPlan(plan):
                     self._follow(plan)
                 case register.Send():
                     self._network.send_to_register(action, self._register_event)
@@ -121,7 +121,7 @@
                     self._context.later(delay_ms, partial(self._register_event, register_due))
 
     def _register_event(self, event: register.ChangeProgress) -> None:
-        self._handle(common.OfRegister(event))
+        self._handle(agreement.RegisterProgress(event))
 
     # ---- Reports ------------------------------------------------------------------------------------------
     def _report(self) -> None:
@@ -130,7 +130,7 @@
         self._report_due_at = now + REPORT_INTERVAL_MS
         self._context.later(REPORT_INTERVAL_MS, self._report)
         alive = self._network.alive()
-        self._handle(common.There(frozenset(alive)))
+        self._handle(agreement.MembershipChanged(frozenset(alive)))
         message = ReportMessage(
             self._context.name,
             self._context.boot_epoch,
@@ -160,12 +160,12 @@
             message.heard,
             message.sights,
         )
-        self._handle(common.Heard(report))
+        self._handle(agreement.ReportReceived(report))
 
     # ---- Plans and orders ---------------------------------------------------------------------------------
     def receive_plan(self, message: PlanMessage) -> None:
         """A plan that a peer follows."""
-        self._handle(common.Told(message.plan, message.made))
+        self._handle(agreement.PlanReceived(message.plan, message.made))
 
     def receive_order(self, message: OrderMessage) -> bool:
         """An operator's order; False for a zone that the settings do not name."""
@@ -173,7 +173,7 @@
             return False
         if not message.sender:
             self._pass_order_on(message)
-        self._handle(common.Ordered(message.zone, message.order))
+        self._handle(agreement.OrderReceived(message.zone, message.order))
         return True
 
     def _pass_order_on(self, message: OrderMessage) -> None:
@@ -187,7 +187,9 @@
                 self._network.notify(planner, "/peers/order", msgspec.json.encode(passed))
 
     def _follow(self, plan: Plan) -> None:
-        states = {zone: part.state.value for zone, part in plan.zones.items() if part.state is not State.NEAR}
+        states = {
+            zone: part.state.value for zone, part in plan.zones.items() if part.state is not ZoneState.NEAR
+        }
         self._context.log.info("plan", number=plan.number, zones=states)
         shares = shares_of(plan, self._config.zone, self._config.fleet.zones)
         self._network.feed(events.PlanInForce(shares))
@@ -199,13 +201,13 @@
     What is neither their own nor a target keeps hardly a share, so that a title that lies nowhere else is
     found there before it is looked for in a zone that the plan leaves.
     """
-    left = {zone for zone in zones if plan.of(zone).state in (State.EMPTIED, State.ALONE)}
+    left = {zone for zone in zones if plan.of(zone).state in (ZoneState.EMPTIED, ZoneState.ALONE)}
     own = plan.of(home)
     if not left and own.away <= 0:
         return ()
     shares = {zone: 0.0 if zone in left else MIN_SHARE for zone in zones}
     shares[home] = max(1.0 - own.away, MIN_SHARE)
-    if own.state is State.EMPTIED and own.away > 0:
+    if own.state is ZoneState.EMPTIED and own.away > 0:
         shares[home] = 0.0
     for target, share in own.to.items():
         if target in shares:
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -37,7 +37,7 @@
 )
 from foxlift.store import Verdict
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 SEEN_MS = 5000.0  # how long what was met of a box tells of its zone
 
@@ -171,9 +171,9 @@
         elif event.loss in LOSSES:
             self._mets[session.node] = LOSSES[event.loss], self._now
 
-    def sights(self, now: float) -> dict[str, Sight]:
+    def sights(self, now: float) -> dict[str, ZoneObservation]:
         """What this director sees of each zone that it has lately met a box of."""
-        fleet, found = self.config.fleet, dict[str, Sight]()
+        fleet, found = self.config.fleet, dict[str, ZoneObservation]()
         self._mets = {n: met for n, met in self._mets.items() if now - met[1] < SEEN_MS and n in self.boxes}
         self._shares = {n: s for n, s in self._shares.items() if now - s[1] < SEEN_MS and n in self.boxes}
         demand = sum(self.rate_kb(session, session.rung) for session in self.sessions.values())
@@ -191,7 +191,7 @@
             asked = gives * sum(uses) / len(uses) if uses else 0.0
             delivered = [self._shares[node][0] for node in there if node in self._shares]
             unmet = {node for node, met in mets.items() if met is Met.SILENT} | silent - mets.keys()
-            found[zone] = Sight(
+            found[zone] = ZoneObservation(
                 boxes=known,
                 refused=sum(met is Met.REFUSED for met in mets.values()),
                 silent=len(unmet),
--- a/foxlift/membership/boxlist.py
+++ b/foxlift/membership/boxlist.py
@@ -198,20 +198,23 @@
 
 
 def _entry(endpoint: _LbEndpoint, zone: str) -> BoxEntry:
-    foxlift, address = endpoint.metadata.filter_metadata.foxlift, endpoint.endpoint.address.socket_address
+    own_metadata, address = (
+        endpoint.metadata.filter_metadata.foxlift,
+        endpoint.endpoint.address.socket_address,
+    )
     if endpoint.health_status not in _STATUS:
-        raise ListError(f"{foxlift.name}: health_status {endpoint.health_status[:40]!r} is unknown")
+        raise ListError(f"{own_metadata.name}: health_status {endpoint.health_status[:40]!r} is unknown")
     return BoxEntry(
-        name=foxlift.name,
-        number=box_number(foxlift.name),
+        name=own_metadata.name,
+        number=box_number(own_metadata.name),
         host=address.address,
         port=address.port_value,
-        zone=zone or foxlift.zone,
-        kind=foxlift.kind,
-        cell=foxlift.cell,
+        zone=zone or own_metadata.zone,
+        kind=own_metadata.kind,
+        cell=own_metadata.cell,
         status=_STATUS[endpoint.health_status],
         weight=endpoint.load_balancing_weight / 1000,
-        started_unix_ms=foxlift.started_unix_ms,
+        started_unix_ms=own_metadata.started_unix_ms,
     )
 
 
--- a/foxlift/membership/watch.py
+++ b/foxlift/membership/watch.py
@@ -141,19 +141,19 @@
             self._full_next = True
         return [self._poll()]
 
-    def _apply(self, update: BoxList | ListDelta) -> list[Action]:
+    def _apply(self, change: BoxList | ListDelta) -> list[Action]:
         self._full_next = False
-        self.version = update.version
-        if isinstance(update, BoxList):
-            self.boxes = {box.name: box for box in update.boxes}
-            publication = PublishList(fl.ListKind.FULL, update.boxes)
+        self.version = change.version
+        if isinstance(change, BoxList):
+            self.boxes = {box.name: box for box in change.boxes}
+            publication = PublishList(fl.ListKind.FULL, change.boxes)
         else:
-            removed = [_as_gone(self.boxes[name]) for name in update.removed if name in self.boxes]
-            self.boxes.update({box.name: box for box in update.boxes})
-            for box in removed:
+            removed_boxes = [_as_gone(self.boxes[name]) for name in change.removed if name in self.boxes]
+            self.boxes.update({box.name: box for box in change.boxes})
+            for box in removed_boxes:
                 del self.boxes[box.name]
-            publication = PublishList(fl.ListKind.DELTA, (*update.boxes, *removed))
-        current = BoxList(update.version, tuple(self.boxes.values()))
+            publication = PublishList(fl.ListKind.DELTA, (*change.boxes, *removed_boxes))
+        current = BoxList(change.version, tuple(self.boxes.values()))
         return [publication, CacheList(current), self._poll()]
 
 
--- a/foxlift/zones/evidence.py
+++ b/foxlift/zones/evidence.py
@@ -24,14 +24,14 @@
 
 STALE_MS = 3000.0
 LAG_MS = 500.0  # a loop that stood still for longer sees ghosts
-MOST_REPORTS = 4096  # observers held
+MAX_REPORTS = 4096  # observers held
 UNREACHED = 2 / 3
 HALF = 0.5
 SHORT = 0.9  # delivered share under which a zone falls short
 FULL_AT = 0.95  # of what it gives is asked: then falling short is load
 
 
-class Verdict(Enum):
+class ZoneHealth(Enum):
     """How a zone stands."""
 
     UNKNOWN = "unknown"
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class ZoneObservation:
     """What one director sees of one zone. Rates are kB/s.
 
     `refused`, `silent`, `slow`: boxes; `delivered`: mean share of rates; `gives`: what its boxes could carry
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One director's. `at`: when it was made, on the judge's clock; `heard`: share of its peers it hears."""
+    """One director's. `at`: when it was made, on the assess's clock; `heard`: share of its peers it hears."""
 
     observer: str
     run: int
@@ -86,7 +86,7 @@
     at: float
     lag_ms: float
     heard: float
-    sights: dict[str, Sight]
+    sights: dict[str, ZoneObservation]
 
     @property
     def sick(self) -> bool:
@@ -95,10 +95,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class ZoneAssessment:
     """One zone's. `share`: of its demand that it can serve; rates summed over who reported, kB/s."""
 
-    verdict: Verdict
+    verdict: ZoneHealth
     share: float = 1.0
     gives: float = 0.0
     asked: float = 0.0
@@ -112,12 +112,12 @@
     zones: tuple[str, ...]
     _reports: dict[str, Report] = field(default_factory=dict)
 
-    def hear(self, report: Report) -> None:
+    def add(self, report: Report) -> None:
         """Take a report in; one of an earlier run, or older than what is held, is passed over."""
         known = self._reports.get(report.observer)
         if known is not None and (report.run, report.at) <= (known.run, known.at):
             return
-        if known is None and len(self._reports) >= MOST_REPORTS:
+        if known is None and len(self._reports) >= MAX_REPORTS:
             return
         self._reports[report.observer] = report
 
@@ -130,7 +130,7 @@
     def __len__(self) -> int:
         return len(self._reports)
 
-    def judge(self, now: float) -> dict[str, Judgement]:
+    def assess(self, now: float) -> dict[str, ZoneAssessment]:
         """Every zone as it stands now."""
         reports = [r for r in self._reports.values() if now - r.at <= STALE_MS and not r.sick]
         reports = self._without_lonely(reports)
@@ -154,15 +154,15 @@
 
         return [report for report in reports if not lonely(report)]
 
-    def _zone(self, zone: str, reports: list[Report]) -> Judgement:
+    def _zone(self, zone: str, reports: list[Report]) -> ZoneAssessment:
         inside = [r.sights[zone] for r in reports if r.zone == zone and zone in r.sights]
-        outside: dict[str, list[Sight]] = defaultdict(list)
+        outside: dict[str, list[ZoneObservation]] = defaultdict(list)
         for report in reports:
             if report.zone != zone and zone in report.sights:
                 outside[report.zone].append(report.sights[zone])
         everyone = [*inside, *(sight for sights in outside.values() for sight in sights)]
         if not everyone:
-            return Judgement(Verdict.UNKNOWN)
+            return ZoneAssessment(ZoneHealth.UNKNOWN)
         # the zone as a whole, from whoever sees most of it; demand is each director's own, so it adds up
         gives = max(sight.gives for sight in everyone)
         asked = max(sight.asked for sight in everyone)
@@ -172,8 +172,8 @@
         )
         if len(outside) >= 2 and unreached >= UNREACHED:
             well = bool(inside) and fmean(sight.unreached for sight in inside) < HALF
-            return Judgement(
-                Verdict.CUT if well else Verdict.GONE, 1.0 if well else 0.0, gives, asked, demand
+            return ZoneAssessment(
+                ZoneHealth.CUT if well else ZoneHealth.GONE, 1.0 if well else 0.0, gives, asked, demand
             )
         places = [*outside.values(), *([inside] if inside else [])]
         weak = fmean(fmean(s.weak for s in sights) for sights in places)
@@ -182,6 +182,6 @@
             full = fmean(fmean(s.full for s in sights) for sights in places) >= HALF
             slow = fmean(fmean(s.slow / s.boxes if s.boxes else 0.0 for s in sights) for sights in places)
             if full and slow < HALF:
-                return Judgement(Verdict.FULL, share, gives, asked, demand)
-            return Judgement(Verdict.WEAK, min(share, 1.0 - slow / 2), gives, asked, demand)
-        return Judgement(Verdict.FINE, 1.0, gives, asked, demand)
+                return ZoneAssessment(ZoneHealth.FULL, share, gives, asked, demand)
+            return ZoneAssessment(ZoneHealth.WEAK, min(share, 1.0 - slow / 2), gives, asked, demand)
+        return ZoneAssessment(ZoneHealth.FINE, 1.0, gives, asked, demand)
--- a/foxlift/zones/plan.py
+++ b/foxlift/zones/plan.py
@@ -36,7 +36,7 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.zones.evidence import Judgement, Verdict
+from foxlift.zones.evidence import ZoneAssessment, ZoneHealth
 
 CONFIRM_MS = 1000.0
 STEADY_MS = 5000.0
@@ -49,7 +49,7 @@
 ORDER_MS = 86_400_000.0  # an operator's order that nobody took back in a day is over
 
 
-class State(Enum):
+class ZoneState(Enum):
     """What a plan says of a zone."""
 
     NEAR = "near"
@@ -59,7 +59,7 @@
     ALONE = "alone"
 
 
-class Order(Enum):
+class OperatorOrder(Enum):
     """An operator's hand on a zone; it goes before evidence."""
 
     EMPTY = "empty"
@@ -74,7 +74,7 @@
 class ZonePlan(msgspec.Struct, frozen=True):
     """One zone's part: `away` of its demand goes to `to`, whose shares add up to `away`."""
 
-    state: State = State.NEAR
+    state: ZoneState = ZoneState.NEAR
     away: Share = 0.0
     to: dict[Name, Share] = {}
 
@@ -107,16 +107,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
+class _ActiveOrder:
     """An operator's order, since when."""
 
-    order: Order
+    order: OperatorOrder
     since: float
 
 
 @dataclass(slots=True)
 class _Zone:
-    verdict: Verdict = Verdict.UNKNOWN
+    verdict: ZoneHealth = ZoneHealth.UNKNOWN
     since: float = 0.0  # when it was first judged so without a break
     stepped: float = 0.0  # when its share was last lowered
     left: list[float] = field(default_factory=list)  # when it left NEAR or RETURNING, the latest few
@@ -128,24 +128,24 @@
 
     regions: dict[str, str]
     _zones: dict[str, _Zone] = field(default_factory=dict)
-    _orders: dict[str, Ordered] = field(default_factory=dict)
+    _orders: dict[str, _ActiveOrder] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self._zones = {zone: _Zone() for zone in self.regions}
 
-    def order(self, now: float, zone: str, order: Order | None) -> None:
+    def order(self, now: float, zone: str, order: OperatorOrder | None) -> None:
         """An operator's hand; None takes it back. KeyError for a zone that the settings do not name."""
         if zone not in self.regions:
             raise KeyError(zone)
         if order is None:
             self._orders.pop(zone, None)
         else:
-            self._orders[zone] = Ordered(order, now)
+            self._orders[zone] = _ActiveOrder(order, now)
 
-    def next(self, now: float, judged: dict[str, Judgement], current: Plan) -> Plan | None:
+    def next(self, now: float, judged: dict[str, ZoneAssessment], current: Plan) -> Plan | None:
         """The plan after `current`, or None where nothing is worth telling."""
         for zone, known in self._zones.items():
-            verdict = judged.get(zone, Judgement(Verdict.UNKNOWN)).verdict
+            verdict = judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).verdict
             if verdict is not known.verdict:
                 known.verdict, known.since = verdict, now
         self._orders = {z: o for z, o in self._orders.items() if now - o.since < ORDER_MS}
@@ -158,62 +158,67 @@
             before = current.of(zone)
             if found.away < before.away - 1e-9:
                 self._zones[zone].stepped = now
-            leaves = found.state in (State.EMPTIED, State.LEANING, State.ALONE)
-            if leaves and before.state in (State.NEAR, State.RETURNING):
+            leaves = found.state in (ZoneState.EMPTIED, ZoneState.LEANING, ZoneState.ALONE)
+            if leaves and before.state in (ZoneState.NEAR, ZoneState.RETURNING):
                 self._zones[zone].left = [*self._zones[zone].left[-MOST_STEADY:], now]
         return Plan(current.number + 1, made)
 
     # ---- One zone -----------------------------------------------------------------------------------------
     def _state(
-        self, now: float, zone: str, judged: dict[str, Judgement], before: ZonePlan
-    ) -> tuple[State, float]:
+        self, now: float, zone: str, judged: dict[str, ZoneAssessment], before: ZonePlan
+    ) -> tuple[ZoneState, float]:
         """Where it goes, and the share that is to leave if there is room."""
-        known, found = self._zones[zone], judged.get(zone, Judgement(Verdict.UNKNOWN))
+        known, found = self._zones[zone], judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN))
         hand = self._orders.get(zone)
-        if hand is not None and hand.order is Order.HOLD:
+        if hand is not None and hand.order is OperatorOrder.HOLD:
             return before.state, before.away
-        if hand is not None and hand.order is Order.EMPTY:
-            return State.EMPTIED, 1.0
+        if hand is not None and hand.order is OperatorOrder.EMPTY:
+            return ZoneState.EMPTIED, 1.0
         if hand is not None:  # to return, and then to stay: whatever the evidence says
-            return (State.NEAR, 0.0) if before.state is State.NEAR else self._return(now, zone, before)
+            return (
+                (ZoneState.NEAR, 0.0) if before.state is ZoneState.NEAR else self._return(now, zone, before)
+            )
         lasts = now - known.since
         match found.verdict:
-            case Verdict.UNKNOWN:
+            case ZoneHealth.UNKNOWN:
                 return before.state, before.away
-            case Verdict.GONE:
-                if lasts >= CONFIRM_MS or before.state is State.EMPTIED:
-                    return State.EMPTIED, 1.0
+            case ZoneHealth.GONE:
+                if lasts >= CONFIRM_MS or before.state is ZoneState.EMPTIED:
+                    return ZoneState.EMPTIED, 1.0
                 return before.state, before.away
-            case Verdict.WEAK | Verdict.FULL if before.state not in (State.EMPTIED, State.ALONE):
-                if lasts < CONFIRM_MS and before.state is State.NEAR:
+            case ZoneHealth.WEAK | ZoneHealth.FULL if before.state not in (
+                ZoneState.EMPTIED,
+                ZoneState.ALONE,
+            ):
+                if lasts < CONFIRM_MS and before.state is ZoneState.NEAR:
                     return before.state, before.away
-                return State.LEANING, self._too_much(found)
-            case Verdict.CUT if before.state in (State.NEAR, State.ALONE):
-                alone = before.state is State.ALONE or lasts >= CONFIRM_MS
-                return (State.ALONE if alone else State.NEAR), 0.0
+                return ZoneState.LEANING, self._too_much(found)
+            case ZoneHealth.CUT if before.state in (ZoneState.NEAR, ZoneState.ALONE):
+                alone = before.state is ZoneState.ALONE or lasts >= CONFIRM_MS
+                return (ZoneState.ALONE if alone else ZoneState.NEAR), 0.0
             case _:
-                if before.state is State.NEAR:
-                    return State.NEAR, 0.0
-                if before.state is State.ALONE:
-                    return (State.NEAR if lasts >= self._steady_ms(now, zone) else State.ALONE), 0.0
-                if before.state is State.RETURNING:
+                if before.state is ZoneState.NEAR:
+                    return ZoneState.NEAR, 0.0
+                if before.state is ZoneState.ALONE:
+                    return (ZoneState.NEAR if lasts >= self._steady_ms(now, zone) else ZoneState.ALONE), 0.0
+                if before.state is ZoneState.RETURNING:
                     return self._return(now, zone, before)
                 if lasts < self._steady_ms(now, zone):
                     return before.state, before.away
                 return self._return(now, zone, before)
 
-    def _return(self, now: float, zone: str, before: ZonePlan) -> tuple[State, float]:
+    def _return(self, now: float, zone: str, before: ZonePlan) -> tuple[ZoneState, float]:
         """A step back towards near: never all at once, for its boxes are cold and its caches empty."""
-        if before.state is State.RETURNING and now - self._zones[zone].stepped < STEP_MS:
-            return State.RETURNING, before.away
+        if before.state is ZoneState.RETURNING and now - self._zones[zone].stepped < STEP_MS:
+            return ZoneState.RETURNING, before.away
         away = max(before.away - STEP, 0.0)
-        return (State.NEAR, 0.0) if away <= 0.0 else (State.RETURNING, away)
+        return (ZoneState.NEAR, 0.0) if away <= 0.0 else (ZoneState.RETURNING, away)
 
-    def _too_much(self, found: Judgement) -> float:
+    def _too_much(self, found: ZoneAssessment) -> float:
         """The share of its demand that it cannot carry."""
         if found.demand <= 0:
             return 0.0
-        carries = found.gives * MARK * (found.share if found.verdict is Verdict.WEAK else 1.0)
+        carries = found.gives * MARK * (found.share if found.verdict is ZoneHealth.WEAK else 1.0)
         return min(max(1.0 - carries / found.demand, 0.0), 1.0)
 
     def _steady_ms(self, now: float, zone: str) -> float:
@@ -221,38 +226,39 @@
         return STEADY_MS * min(2.0 ** max(lately - 1, 0), MOST_STEADY)
 
     def _spare_the_last(
-        self, wanted: dict[str, tuple[State, float]], judged: dict[str, Judgement], current: Plan
+        self, wanted: dict[str, tuple[ZoneState, float]], judged: dict[str, ZoneAssessment], current: Plan
     ) -> None:
         """A zone is emptied only while another stays good: stale or common evidence must not empty all."""
-        good = {Verdict.FINE, Verdict.WEAK, Verdict.FULL}
+        good = {ZoneHealth.FINE, ZoneHealth.WEAK, ZoneHealth.FULL}
         left = [
             zone
             for zone, (state, _) in wanted.items()
-            if state is not State.EMPTIED and judged.get(zone, Judgement(Verdict.UNKNOWN)).verdict in good
+            if state is not ZoneState.EMPTIED
+            and judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).verdict in good
         ]
         if left:
             return
         for zone, (state, _) in wanted.items():
-            if state is State.EMPTIED and current.of(zone).state is not State.EMPTIED:
+            if state is ZoneState.EMPTIED and current.of(zone).state is not ZoneState.EMPTIED:
                 before = current.of(zone)
                 wanted[zone] = before.state, before.away
 
     # ---- All zones ----------------------------------------------------------------------------------------
     def _place(
-        self, wanted: dict[str, tuple[State, float]], judged: dict[str, Judgement]
+        self, wanted: dict[str, tuple[ZoneState, float]], judged: dict[str, ZoneAssessment]
     ) -> dict[str, ZonePlan]:
         """Give what leaves a place; what has none stays."""
-        nothing = Judgement(Verdict.UNKNOWN)
+        nothing = ZoneAssessment(ZoneHealth.UNKNOWN)
         room: dict[str, float] = {}
         for zone, (state, away) in wanted.items():
             found = judged.get(zone, nothing)
-            takes = found.verdict is Verdict.FINE and state in (State.NEAR, State.RETURNING)
+            takes = found.verdict is ZoneHealth.FINE and state in (ZoneState.NEAR, ZoneState.RETURNING)
             keeps = found.demand * (1.0 - away)
             room[zone] = max(found.gives * MARK - keeps, 0.0) if takes and away == 0.0 else 0.0
         made: dict[str, ZonePlan] = {}
         # whoever has nothing of its own left goes first
         for zone in sorted(
-            wanted, key=lambda z: (wanted[z][0] is not State.EMPTIED, list(self.regions).index(z))
+            wanted, key=lambda z: (wanted[z][0] is not ZoneState.EMPTIED, list(self.regions).index(z))
         ):
             state, away = wanted[zone]
             demand = judged.get(zone, nothing).demand
@@ -264,14 +270,14 @@
                     room[target] -= given
                     left -= given
                     to[target] = round(given / demand, 6)
-            if state is State.EMPTIED and demand <= 0:
+            if state is ZoneState.EMPTIED and demand <= 0:
                 made[zone] = ZonePlan(state, 1.0, {})
                 continue
             gone = round(sum(to.values()), 6)
-            if state is State.EMPTIED or gone > 0 or state is State.RETURNING:
+            if state is ZoneState.EMPTIED or gone > 0 or state is ZoneState.RETURNING:
                 made[zone] = ZonePlan(state, min(gone if demand > 0 else away, 1.0), to)
             else:
-                made[zone] = NEAR if state is State.NEAR else ZonePlan(state, 0.0, {})
+                made[zone] = NEAR if state is ZoneState.NEAR else ZonePlan(state, 0.0, {})
         return made
 
     def _nearest(self, zone: str) -> list[str]:
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -16,8 +16,8 @@
 from foxlift.platform.stop import State as StopState
 from foxlift.platform.transport import PlatformDirector
 from foxlift.recovery import takeover
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Judgement
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, ZoneAssessment
 from foxlift.zones.plan import Plan, Planner
 
 RUN = 7
@@ -111,19 +111,21 @@
 
 
 def test_an_old_plan_sorts_no_names_until_it_is_told_again() -> None:
-    follower = common.Common("a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Proposer("a", 1), seed=1)
-    follower.handle(0.0, common.There(CountedNames("abcdefgh")))
-    follower.handle(0.0, common.Told(Plan(1), 0.0))
+    follower = agreement.PlanAgreement(
+        "a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Proposer("a", 1), seed=1
+    )
+    follower.handle(0.0, agreement.MembershipChanged(CountedNames("abcdefgh")))
+    follower.handle(0.0, agreement.PlanReceived(Plan(1), 0.0))
     for _ in range(100):
-        follower.handle(0.0, common.TellDue())
+        follower.handle(0.0, agreement.GossipDue())
     CountedNames.others = 0
     told = [
         action
         for _ in range(20)
-        for action in follower.handle(0.0, common.TellDue())
-        if isinstance(action, common.Tell)
+        for action in follower.handle(0.0, agreement.GossipDue())
+        if isinstance(action, agreement.SendPlan)
     ]
-    assert CountedNames.others == 2 and len(told) == 2 * common.TELL_TO
+    assert CountedNames.others == 2 and len(told) == 2 * agreement.GOSSIP_FANOUT
 
 
 class CountedEvidence(Evidence):
@@ -131,18 +133,20 @@
 
     judged = 0
 
-    def judge(self, now: float) -> dict[str, Judgement]:
+    def assess(self, now: float) -> dict[str, ZoneAssessment]:
         CountedEvidence.judged += 1
-        return super().judge(now)
+        return super().assess(now)
 
 
 @pytest.mark.parametrize(("name", "judged"), [("m1", 1), ("m2", 0)])
 def test_only_the_maker_that_proposes_judges(name: str, judged: int) -> None:
     evidence = CountedEvidence(("z",))
-    maker = common.Common(name, ("m1", "m2"), Planner({"z": "r"}), evidence, Proposer(name, 1), seed=1)
-    maker.handle(0.0, common.There(frozenset({"m1", "m2"})))
+    maker = agreement.PlanAgreement(
+        name, ("m1", "m2"), Planner({"z": "r"}), evidence, Proposer(name, 1), seed=1
+    )
+    maker.handle(0.0, agreement.MembershipChanged(frozenset({"m1", "m2"})))
     CountedEvidence.judged = 0
-    maker.handle(0.0, common.Due())
+    maker.handle(0.0, agreement.PlanningDue())
     assert CountedEvidence.judged == judged
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,18 +13,18 @@
 
 from foxlift.consensus import Promise, Proposer
 from foxlift.director.cluster.zone_planning import shares_of
-from foxlift.zones import common as cm
-from foxlift.zones.evidence import Evidence, Judgement, Report, Sight, Verdict
+from foxlift.zones import agreement as ag
+from foxlift.zones.evidence import Evidence, Report, ZoneAssessment, ZoneHealth, ZoneObservation
 from foxlift.zones.plan import (
     MARK,
     STEADY_MS,
     STEP,
     STEP_MS,
-    Order,
+    OperatorOrder,
     Plan,
     Planner,
-    State,
     ZonePlan,
+    ZoneState,
     read_plan,
     write_plan,
 )
@@ -33,9 +33,10 @@
 
 
 # ---- Evidence ---------------------------------------------------------------------------------------------
-def sees(broken: set[str] = frozenset(), **more: Sight) -> dict[str, Sight]:  # type: ignore[assignment]
+def sees(broken: set[str] = frozenset(), **more: ZoneObservation) -> dict[str, ZoneObservation]:  # type: ignore[assignment]
     return {
-        z: more.get(z, Sight(4, silent=4 if z in broken else 0, gives=1000.0, asked=500.0)) for z in NAMES
+        z: more.get(z, ZoneObservation(4, silent=4 if z in broken else 0, gives=1000.0, asked=500.0))
+        for z in NAMES
     }
 
 
@@ -44,44 +45,44 @@
     return replace(plain, **more)
 
 
-def judge(*reports: Report, now: float = 1500.0) -> dict[str, Judgement]:
+def judge(*reports: Report, now: float = 1500.0) -> dict[str, ZoneAssessment]:
     evidence = Evidence(NAMES)
     for one in reports:
-        evidence.hear(one)
-    return evidence.judge(now)
+        evidence.add(one)
+    return evidence.assess(now)
 
 
 def test_a_zone_that_nobody_reaches_is_gone_and_one_heard_from_inside_is_cut() -> None:
     outside = [report(zone, sights=sees({"n1"})) for zone in NAMES if zone != "n1"]
-    assert judge(*outside)["n1"].verdict is Verdict.GONE
-    assert judge(*outside, report("n1"))["n1"].verdict is Verdict.CUT
-    assert judge(*outside, report("n1", sights=sees({"n1"})))["n1"].verdict is Verdict.GONE
-    assert judge(*outside)["n2"].verdict is Verdict.FINE
+    assert judge(*outside)["n1"].verdict is ZoneHealth.GONE
+    assert judge(*outside, report("n1"))["n1"].verdict is ZoneHealth.CUT
+    assert judge(*outside, report("n1", sights=sees({"n1"})))["n1"].verdict is ZoneHealth.GONE
+    assert judge(*outside)["n2"].verdict is ZoneHealth.FINE
 
 
 def test_one_place_is_one_voice_however_many_directors_it_has() -> None:
     many = [report("s1", k, sights=sees({"n1"})) for k in range(50)]
     others = [report(zone) for zone in NAMES if zone not in ("n1", "s1")]
-    assert judge(*many, *others)["n1"].verdict is Verdict.FINE
+    assert judge(*many, *others)["n1"].verdict is ZoneHealth.FINE
 
 
 @pytest.mark.parametrize("more", [{"lag_ms": 5000.0}, {"heard": 0.3}, {"at": -9000.0}])
 def test_a_sick_or_stale_observer_has_no_voice(more: dict[str, Any]) -> None:
     sick = [report(zone, 0, sights=sees({"n1"}), **more) for zone in ("s1", "s2", "w1")]
-    assert judge(*sick, report("n2"), report("w2"))["n1"].verdict is Verdict.FINE
+    assert judge(*sick, report("n2"), report("w2"))["n1"].verdict is ZoneHealth.FINE
 
 
 def test_a_lying_observer_that_sees_all_others_broken_has_no_voice() -> None:
     liar = report("s1", sights=sees(set(NAMES) - {"s1"}))
     found = judge(liar, *(report(zone) for zone in ("n1", "w1")))
-    assert all(judgement.verdict is Verdict.FINE for judgement in found.values())
+    assert all(judgement.verdict is ZoneHealth.FINE for judgement in found.values())
 
 
 def test_load_is_told_from_failure() -> None:
-    full = Sight(4, delivered=0.7, gives=1000.0, asked=1000.0)
-    weak = Sight(4, delivered=0.7, gives=1000.0, asked=400.0)
-    slow = Sight(4, slow=3, gives=1000.0, asked=400.0)
-    for sight, verdict in ((full, Verdict.FULL), (weak, Verdict.WEAK), (slow, Verdict.WEAK)):
+    full = ZoneObservation(4, delivered=0.7, gives=1000.0, asked=1000.0)
+    weak = ZoneObservation(4, delivered=0.7, gives=1000.0, asked=400.0)
+    slow = ZoneObservation(4, slow=3, gives=1000.0, asked=400.0)
+    for sight, verdict in ((full, ZoneHealth.FULL), (weak, ZoneHealth.WEAK), (slow, ZoneHealth.WEAK)):
         found = judge(*(report(zone, sights=sees(n1=sight)) for zone in NAMES))
         assert found["n1"].verdict is verdict
 
@@ -89,27 +90,27 @@
 def test_an_old_or_replayed_report_undoes_nothing_and_tables_are_bounded() -> None:
     evidence = Evidence(NAMES)
     new = report("s1", run=2, at=2000.0)
-    evidence.hear(new)
-    evidence.hear(report("s1", run=1, at=9000.0, sights=sees({"n1"})))
-    evidence.hear(report("s1", run=2, at=1000.0, sights=sees({"n1"})))
+    evidence.add(new)
+    evidence.add(report("s1", run=1, at=9000.0, sights=sees({"n1"})))
+    evidence.add(report("s1", run=2, at=1000.0, sights=sees({"n1"})))
     assert list(evidence._reports.values()) == [new]
     for k in range(6000):
-        evidence.hear(report("s2", k))
+        evidence.add(report("s2", k))
     assert len(evidence) <= 4096
     evidence.forget(1e9)
     assert len(evidence) == 0
 
 
 def test_nothing_heard_is_unknown() -> None:
-    assert {j.verdict for j in judge().values()} == {Verdict.UNKNOWN}
+    assert {j.verdict for j in judge().values()} == {ZoneHealth.UNKNOWN}
 
 
 # ---- Plans ------------------------------------------------------------------------------------------------
-FINE = Judgement(Verdict.FINE, 1.0, 1000.0, 500.0, 500.0)
-GONE = Judgement(Verdict.GONE, 0.0, 1000.0, 500.0, 500.0)
+FINE = ZoneAssessment(ZoneHealth.FINE, 1.0, 1000.0, 500.0, 500.0)
+GONE = ZoneAssessment(ZoneHealth.GONE, 0.0, 1000.0, 500.0, 500.0)
 
 
-def after(planner: Planner, judged: dict[str, Judgement], plan: Plan, begin: float, ms: float) -> Plan:
+def after(planner: Planner, judged: dict[str, ZoneAssessment], plan: Plan, begin: float, ms: float) -> Plan:
     """Look every 500 ms."""
     now = begin
     while now <= begin + ms:
@@ -123,7 +124,7 @@
     judged = {**dict.fromkeys(NAMES, FINE), "n1": GONE}
     assert planner.next(0.0, judged, Plan()) is None  # not on the first word
     plan = after(planner, judged, Plan(), 500.0, 1500.0)
-    assert plan.number == 1 and plan.of("n1").state is State.EMPTIED
+    assert plan.number == 1 and plan.of("n1").state is ZoneState.EMPTIED
     assert list(plan.of("n1").to) == ["n2", "s1"]  # 400 kB/s are free there below the mark, the rest goes on
     assert plan.of("n1").to["n2"] == pytest.approx(0.8) and plan.of("n1").away == pytest.approx(1.0)
     assert planner.next(5000.0, judged, plan) is None  # nothing new is no plan
@@ -131,39 +132,39 @@
 
 def test_a_weak_zone_leans_by_what_it_cannot_carry() -> None:
     planner = Planner(dict(ZONES))
-    weak = Judgement(Verdict.WEAK, 0.5, 1000.0, 500.0, 900.0)
+    weak = ZoneAssessment(ZoneHealth.WEAK, 0.5, 1000.0, 500.0, 900.0)
     plan = after(planner, {**dict.fromkeys(NAMES, FINE), "s1": weak}, Plan(), 0.0, 2000.0)
-    assert plan.of("s1").state is State.LEANING and plan.of("s1").away == pytest.approx(0.5)
+    assert plan.of("s1").state is ZoneState.LEANING and plan.of("s1").away == pytest.approx(0.5)
     assert list(plan.of("s1").to) == ["s2", "n1"]
 
 
 def test_a_zone_that_is_cut_off_serves_its_own_and_nobody_else_s() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
-    plan = after(planner, {**fine, "n1": replace(FINE, verdict=Verdict.CUT)}, Plan(), 0.0, 2000.0)
-    assert plan.of("n1") == ZonePlan(State.ALONE, 0.0, {})
+    plan = after(planner, {**fine, "n1": replace(FINE, verdict=ZoneHealth.CUT)}, Plan(), 0.0, 2000.0)
+    assert plan.of("n1") == ZonePlan(ZoneState.ALONE, 0.0, {})
     assert shares_of(plan, "n1", NAMES)[0] == 1.0  # for its own directors
     elsewhere = shares_of(plan, "s1", NAMES)
     assert elsewhere[0] == 0.0 and elsewhere[NAMES.index("s1")] == 1.0 and min(elsewhere[1:]) > 0
-    assert after(planner, fine, plan, 3000.0, STEADY_MS + 1000.0).of("n1").state is State.NEAR
+    assert after(planner, fine, plan, 3000.0, STEADY_MS + 1000.0).of("n1").state is ZoneState.NEAR
 
 
 def test_shares_leave_emptied_zones_and_hardly_touch_the_rest() -> None:
     assert shares_of(Plan(), "n1", NAMES) == ()
-    plan = Plan(1, {"n1": ZonePlan(State.EMPTIED, 0.9, {"n2": 0.8, "s1": 0.1})})
+    plan = Plan(1, {"n1": ZonePlan(ZoneState.EMPTIED, 0.9, {"n2": 0.8, "s1": 0.1})})
     own = dict(zip(NAMES, shares_of(plan, "n1", NAMES), strict=True))
     assert own["n1"] == 0.0 and own["n2"] == 0.8 and own["s1"] == 0.1 and 0 < own["w1"] < 0.001
-    full = Plan(1, {"n1": ZonePlan(State.EMPTIED, 0.0, {})})  # nobody has room: rather there than refused
+    full = Plan(1, {"n1": ZonePlan(ZoneState.EMPTIED, 0.0, {})})  # nobody has room: rather there than refused
     assert shares_of(full, "n1", NAMES)[0] == 1.0
 
 
 def test_at_95_in_a_hundred_nothing_has_room_and_nothing_moves() -> None:
     planner = Planner(dict(ZONES))
-    busy = Judgement(Verdict.FINE, 1.0, 1000.0, 950.0, 950.0)
+    busy = ZoneAssessment(ZoneHealth.FINE, 1.0, 1000.0, 950.0, 950.0)
     plan = after(
         planner, {**dict.fromkeys(NAMES, busy), "n1": replace(GONE, demand=950.0)}, Plan(), 0.0, 3000.0
     )
-    assert plan.of("n1").state is State.EMPTIED and plan.of("n1").away == 0.0 and not plan.of("n1").to
+    assert plan.of("n1").state is ZoneState.EMPTIED and plan.of("n1").away == 0.0 and not plan.of("n1").to
 
 
 def test_the_last_good_zone_is_never_emptied() -> None:
@@ -172,8 +173,8 @@
     assert plan == Plan()  # if nobody reaches anything, the evidence is what is broken
     judged = {**dict.fromkeys(NAMES, GONE), "w2": FINE}
     plan = after(planner, judged, plan, 30_000.0, 20_000.0)
-    assert plan.of("w2").state is State.NEAR
-    assert sum(plan.of(z).state is State.EMPTIED for z in NAMES) == 5
+    assert plan.of("w2").state is ZoneState.NEAR
+    assert sum(plan.of(z).state is ZoneState.EMPTIED for z in NAMES) == 5
 
 
 def test_a_zone_returns_by_steps_after_it_was_steady() -> None:
@@ -182,7 +183,7 @@
     plan = after(planner, {**fine, "n1": GONE}, Plan(), 0.0, 2000.0)
     shares = []
     now = 3000.0
-    while plan.of("n1").state is not State.NEAR:
+    while plan.of("n1").state is not ZoneState.NEAR:
         found = planner.next(now, fine, plan)
         if found is not None:
             shares.append((now, found.of("n1").away))
@@ -204,7 +205,7 @@
         judged = {**fine, "n1": GONE} if (turn // 6) % 2 else fine
         plan = planner.next(now, judged, plan) or plan
         states.append(plan.of("n1").state)
-    left = sum(a is not State.EMPTIED and b is State.EMPTIED for a, b in itertools.pairwise(states))
+    left = sum(a is not ZoneState.EMPTIED and b is ZoneState.EMPTIED for a, b in itertools.pairwise(states))
     assert left == 1  # in two minutes: it never comes back, for it is never steady
 
 
@@ -215,7 +216,7 @@
     for _ in range(4):
         plan = after(planner, {**fine, "n1": GONE}, plan, now, 2000.0)
         begin = now = now + 2500.0
-        while plan.of("n1").state is State.EMPTIED:
+        while plan.of("n1").state is ZoneState.EMPTIED:
             plan = planner.next(now, fine, plan) or plan
             now += 250.0
         waits.append(now - begin)
@@ -225,26 +226,26 @@
 def test_an_operator_s_order_goes_before_evidence_and_is_over_after_a_day() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
-    planner.order(0.0, "s2", Order.EMPTY)
+    planner.order(0.0, "s2", OperatorOrder.EMPTY)
     plan = after(planner, fine, Plan(), 0.0, 1000.0)
-    assert plan.of("s2").state is State.EMPTIED and plan.of("s2").away == pytest.approx(1.0)
-    planner.order(2000.0, "s2", Order.HOLD)
+    assert plan.of("s2").state is ZoneState.EMPTIED and plan.of("s2").away == pytest.approx(1.0)
+    planner.order(2000.0, "s2", OperatorOrder.HOLD)
     assert after(planner, fine, plan, 2000.0, 30_000.0) == plan
-    planner.order(40_000.0, "s2", Order.RETURN)
+    planner.order(40_000.0, "s2", OperatorOrder.RETURN)
     plan = after(planner, {**fine, "s2": GONE}, plan, 40_000.0, 30_000.0)
-    assert plan.of("s2").state is State.NEAR  # against the evidence
-    planner.order(80_000.0, "s2", Order.EMPTY)
+    assert plan.of("s2").state is ZoneState.NEAR  # against the evidence
+    planner.order(80_000.0, "s2", OperatorOrder.EMPTY)
     plan = after(planner, fine, plan, 80_000.0, 2000.0)
     forgotten = 80_000.0 + 86_400_000.0
     plan = after(planner, fine, plan, forgotten, 60_000.0)
-    assert plan.of("s2").state is State.NEAR
+    assert plan.of("s2").state is ZoneState.NEAR
     with pytest.raises(KeyError):
-        planner.order(0.0, "x", Order.EMPTY)
+        planner.order(0.0, "x", OperatorOrder.EMPTY)
 
 
 judgements = st.builds(
-    Judgement,
-    st.sampled_from(list(Verdict)),
+    ZoneAssessment,
+    st.sampled_from(list(ZoneHealth)),
     st.floats(0, 1),
     st.floats(0, 5000),
     st.floats(0, 5000),
@@ -259,7 +260,7 @@
     )
 )
 def test_no_plan_ever_overloads_a_target_or_empties_all(
-    days: list[tuple[float, dict[str, Judgement]]],
+    days: list[tuple[float, dict[str, ZoneAssessment]]],
 ) -> None:
     planner, plan, now = Planner(dict(ZONES)), Plan(), 0.0
     for passed, judged in days:
@@ -271,13 +272,13 @@
         for zone in NAMES:
             part = made.of(zone)
             assert part.away <= 1.0 + 1e-6 and zone not in part.to
-            if part.state is not State.EMPTIED or judged[zone].demand > 0:
+            if part.state is not ZoneState.EMPTIED or judged[zone].demand > 0:
                 assert sum(part.to.values()) == pytest.approx(part.away, abs=1e-4)
             given = sum(made.of(o).to.get(zone, 0.0) * judged[o].demand for o in NAMES)
             if given > 0.01:
-                assert judged[zone].verdict is Verdict.FINE
+                assert judged[zone].verdict is ZoneHealth.FINE
                 assert given + judged[zone].demand <= judged[zone].gives * MARK * (1 + 1e-4) + 0.01
-        assert any(made.of(zone).state is not State.EMPTIED for zone in NAMES)
+        assert any(made.of(zone).state is not ZoneState.EMPTIED for zone in NAMES)
         assert read_plan(write_plan(made)) == made
         plan = made
 
@@ -288,11 +289,11 @@
     fleet.run(5000.0)
     fleet.dead_zones = {"n1"}
     begin = fleet.now
-    known = fleet.run(10_000.0, lambda: fleet.all_follow("n1", State.EMPTIED))
+    known = fleet.run(10_000.0, lambda: fleet.all_follow("n1", ZoneState.EMPTIED))
     assert known - begin < 4500.0, known - begin
     fleet.dead_zones = set()
-    fleet.run(40_000.0, lambda: fleet.all_follow("n1", State.NEAR))
-    assert fleet.all_follow("n1", State.NEAR)
+    fleet.run(40_000.0, lambda: fleet.all_follow("n1", ZoneState.NEAR))
+    assert fleet.all_follow("n1", ZoneState.NEAR)
     assert all(len(texts) == 1 for texts in fleet.by_number.values())
 
 
@@ -304,20 +305,21 @@
         if fleet.zone_of[name] in ("n1", "n2"):
             fleet.kill(name)
     fleet.run(
-        15_000.0, lambda: fleet.all_follow("n1", State.EMPTIED) and fleet.all_follow("n2", State.EMPTIED)
+        15_000.0,
+        lambda: fleet.all_follow("n1", ZoneState.EMPTIED) and fleet.all_follow("n2", ZoneState.EMPTIED),
     )
-    assert fleet.all_follow("n1", State.EMPTIED) and fleet.all_follow("n2", State.EMPTIED)
+    assert fleet.all_follow("n1", ZoneState.EMPTIED) and fleet.all_follow("n2", ZoneState.EMPTIED)
 
 
 def test_makers_split_two_to_two_to_one_make_no_plan_and_all_go_by_their_own_sight() -> None:
     fleet = Fleet(3)
     fleet.run(3000.0)
     fleet.dead_zones = {"w2"}
-    fleet.run(12_000.0, lambda: fleet.all_follow("w2", State.EMPTIED))
+    fleet.run(12_000.0, lambda: fleet.all_follow("w2", ZoneState.EMPTIED))
     parts = [{"n1", "n2"}, {"s1", "s2"}, {"w1", "w2"}]
     fleet.cut = {(a, b) for one in parts for a in one for other in parts if other is not one for b in other}
     before = max(fleet.by_number)
-    fleet.run(cm.KEEP_MS + 20_000.0)
+    fleet.run(ag.PLANNER_TIMEOUT_MS + 20_000.0)
     assert max(fleet.by_number) == before
     assert all(fleet.members[name].fallen_back for name in fleet.up)
     assert all(not fleet.followed[name].zones for name in fleet.up)  # nothing that serves waits for a plan
@@ -330,8 +332,8 @@
     fleet = Fleet(4, loss=0.0)
     fleet.run(1000.0)
     member = fleet.members["s1-1"]
-    fleet.tell("s1-1", member, cm.Told(Plan(7, {"n1": ZonePlan(State.EMPTIED, 0.0)}), 0.0))
-    fleet.tell("s1-1", member, cm.Told(Plan(6, {"n2": ZonePlan(State.EMPTIED, 0.0)}), 0.0))
+    fleet.tell("s1-1", member, ag.PlanReceived(Plan(7, {"n1": ZonePlan(ZoneState.EMPTIED, 0.0)}), 0.0))
+    fleet.tell("s1-1", member, ag.PlanReceived(Plan(6, {"n2": ZonePlan(ZoneState.EMPTIED, 0.0)}), 0.0))
     assert fleet.followed["s1-1"].number == 7
 
 
@@ -364,11 +366,11 @@
         return len(names) >= 1
 
 
-class Forward(cm.Common):
+class Forward(ag.PlanAgreement):
     """Follows its own plan before it is agreed on."""
 
     def _propose(self, now, plan):  # type: ignore[no-untyped-def]
-        return [*super()._propose(now, plan), *self._learn(now, plan)]
+        return [*super()._propose(now, plan), *self._receive(now, plan)]
 
 
 @pytest.mark.parametrize(
--- a/tests/zones_world.py
+++ b/tests/zones_world.py
@@ -10,9 +10,9 @@
 from foxlift.consensus import Proposer, Record, Replica
 from foxlift.consensus import register as rg
 from foxlift.consensus import replica as rp
-from foxlift.zones import common as cm
-from foxlift.zones.evidence import Evidence, Report, Sight
-from foxlift.zones.plan import Plan, Planner, State, read_plan, write_plan
+from foxlift.zones import agreement as ag
+from foxlift.zones.evidence import Evidence, Report, ZoneObservation
+from foxlift.zones.plan import Plan, Planner, ZoneState, read_plan, write_plan
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west", "w2": "west"}
 GIVES, DEMAND = 1000.0, 500.0  # of a zone, kB/s
@@ -28,7 +28,7 @@
     makers_in: tuple[str, ...] = ("n1", "n2", "s1", "s2", "w1")
     loss: float = 0.02
     make_registers: type[Proposer] = Proposer
-    make_common: type[cm.Common] = cm.Common
+    make_common: type[ag.PlanAgreement] = ag.PlanAgreement
     now: float = 0.0
     dead_zones: set[str] = field(default_factory=set)
     weak: dict[str, float] = field(default_factory=dict)  # zones and what they deliver
@@ -48,7 +48,7 @@
         self.disks: dict[str, dict[str, Record]] = {maker: {} for maker in self.makers}
         self.replicas: dict[str, Replica] = {}
         self.runs = dict.fromkeys(self.names, 0)
-        self.members: dict[str, cm.Common] = {}
+        self.members: dict[str, ag.PlanAgreement] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         for name in self.names:
@@ -62,7 +62,7 @@
         made = self.make_common(name, self.makers, planner, evidence, registers, self.seed)
         self.members[name] = made
         if name in self.makers:
-            self.replicas[name] = Replica(cm.LASTS_MS, 1000, 0, dict(self.disks[name]))
+            self.replicas[name] = Replica(ag.REGISTER_END_UNIX_MS, 1000, 0, dict(self.disks[name]))
         self.followed[name] = Plan()
         self.do(name, made, made.start(self.now))
         self.report(name, made)
@@ -98,19 +98,19 @@
             if self.random.random() < 0.02:
                 self.later(900.0, lambda: then() if b in self.up else None)  # once more, late
 
-    def tell(self, name: str, member: cm.Common, event: cm.Event) -> None:
+    def tell(self, name: str, member: ag.PlanAgreement, event: ag.Event) -> None:
         if self.members[name] is member and name in self.up:
             self.do(name, member, member.handle(self.now, event))
 
-    def do(self, name: str, member: cm.Common, actions: list[cm.Action]) -> None:
+    def do(self, name: str, member: ag.PlanAgreement, actions: list[ag.Action]) -> None:
         for action in actions:
             match action:
-                case cm.StartTimer(delay, event):
+                case ag.StartTimer(delay, event):
                     self.later(delay, lambda e=event: self.tell(name, member, e))  # type: ignore[misc]
-                case cm.Tell(to, plan, made):
-                    told = cm.Told(plan, made)
+                case ag.SendPlan(to, plan, made):
+                    told = ag.PlanReceived(plan, made)
                     self.send(name, to, lambda t=to, e=told: self.tell(t, self.members[t], e))  # type: ignore[misc]
-                case cm.Follow(plan):
+                case ag.ApplyPlan(plan):
                     self.followed[name] = plan
                     self.changes.append((self.now, name, plan))
                     if not member.fallen_back:
@@ -118,17 +118,17 @@
                 case rg.Send():
                     self.send(name, action.to, lambda s=action: self.asked(name, member, s))  # type: ignore[misc]
                 case rg.StartTimer(delay, event):
-                    inner = cm.OfRegister(event)
+                    inner = ag.RegisterProgress(event)
                     self.later(delay, lambda e=inner: self.tell(name, member, e))  # type: ignore[misc]
 
-    def asked(self, name: str, member: cm.Common, send: rg.Send) -> None:
+    def asked(self, name: str, member: ag.PlanAgreement, send: rg.Send) -> None:
         replica = self.replicas[send.to]
         self._order += 1
         for action in replica.handle(self.now, rp.RequestReceived(self._order, send.message)):
             self.replica_does(name, member, send, replica, action)
 
     def replica_does(
-        self, name: str, member: cm.Common, send: rg.Send, replica: Replica, action: rp.Action
+        self, name: str, member: ag.PlanAgreement, send: rg.Send, replica: Replica, action: rp.Action
     ) -> None:
         match action:
             case rp.Store(request, record):
@@ -142,19 +142,19 @@
 
                 self.later(2.0, lasts)
             case rp.Reply(_, message):
-                event = cm.OfRegister(rg.ResponseReceived(send.request_id, message))
+                event = ag.RegisterProgress(rg.ResponseReceived(send.request_id, message))
                 self.send(send.to, name, lambda: self.tell(name, member, event))
 
     # ---- What directors see -------------------------------------------------------------------------------
-    def sight(self, name: str, zone: str) -> Sight:
+    def sight(self, name: str, zone: str) -> ZoneObservation:
         home = self.zone_of[name]
         unreached = (home, zone) in self.cut or zone in self.dead_zones
         delivered = self.weak.get(zone, 1.0)
         demand = DEMAND * self.load / self.each if home == zone else 0.0
         silent = 4 if unreached else 0
-        return Sight(4, 0, silent, 0, delivered, GIVES, DEMAND * self.load, demand)
+        return ZoneObservation(4, 0, silent, 0, delivered, GIVES, DEMAND * self.load, demand)
 
-    def report(self, name: str, member: cm.Common) -> None:
+    def report(self, name: str, member: ag.PlanAgreement) -> None:
         """Every second to all makers that can be reached; a stand-in for what wiring will do."""
         if self.members[name] is not member or name not in self.up:
             return
@@ -163,12 +163,12 @@
             for other in self.up
             if other == name or (self.zone_of[name], self.zone_of[other]) not in self.cut
         )
-        self.tell(name, member, cm.There(there))
+        self.tell(name, member, ag.MembershipChanged(there))
         heard = len(there) / len(self.names)
         sights = {zone: self.sight(name, zone) for zone in self.zones}
         for maker in self.makers:
             made = Report(name, self.runs[name], self.zone_of[name], self.now, 0.0, heard, sights)
-            heard_event = cm.Heard(made)
+            heard_event = ag.ReportReceived(made)
             self.send(name, maker, lambda m=maker, e=heard_event: self.tell(m, self.members[m], e))  # type: ignore[misc]
         self.later(1000.0, lambda: self.report(name, member))
 
@@ -204,6 +204,6 @@
     """Whether two plans had one number, or a plan emptied every zone."""
     for texts in fleet.by_number.values():
         plan = read_plan(next(iter(texts)))
-        if len(texts) > 1 or plan is None or all(plan.of(z).state is State.EMPTIED for z in fleet.zones):
+        if len(texts) > 1 or plan is None or all(plan.of(z).state is ZoneState.EMPTIED for z in fleet.zones):
             return True
     return False
