--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -8,17 +8,17 @@
 from bench.scale.scan import CONFIGURATION, CONTROL, DISCOVERY, PLAN_MAKERS, REGISTER_HOLDERS, Scan
 from foxlift import interface as fl
 from foxlift.config.settings import PeerConfig
-from foxlift.consensus import Accept, Ballot, Holder, Prepare, Record, Registers, holders_of
+from foxlift.consensus import Accept, Ballot, Prepare, Proposer, Record, Replica, replicas_of
 from foxlift.consensus import replica as acceptor
 from foxlift.director.cluster.zone_planning import ReportMessage
-from foxlift.membership import BoxEntry, BoxList, CacheList, Changes, ListAnswer, ListWatch, PollDue
+from foxlift.membership import BoxEntry, BoxList, CacheList, ListDelta, ListReceived, ListWatch, PollDue
 from foxlift.membership.boxlist import encode_full, read_response
 from foxlift.peers import view
-from foxlift.peers.messages import MOST_UPDATES, Ping, State, Update
+from foxlift.peers.messages import MAX_UPDATES, PeerState, Ping, Update
 from foxlift.platform import feed
 from foxlift.recovery import takeover
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Report, Sight
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, Report, ZoneObservation
 from foxlift.zones.plan import Plan, Planner
 
 ZONES = tuple(f"zone-{number}" for number in range(9))
@@ -48,23 +48,23 @@
     """A view that has just heard of everybody: each peer's first word is news to be told on."""
     names = director_names(directors)
     member = view.Peers(names[0], PEER_RUN, names, seed=1)
-    for begin in range(1, directors, MOST_UPDATES):
-        told = names[begin : begin + MOST_UPDATES]
-        updates = tuple(Update(name, State.ALIVE, PEER_RUN, 0) for name in told)
-        member.handle(0.0, view.Asked(begin, Ping(told[0], PEER_RUN, updates)))
+    for begin in range(1, directors, MAX_UPDATES):
+        told = names[begin : begin + MAX_UPDATES]
+        updates = tuple(Update(name, PeerState.ALIVE, PEER_RUN, 0) for name in told)
+        member.handle(0.0, view.RequestReceived(begin, Ping(told[0], PEER_RUN, updates)))
     return member
 
 
 def _answer_with_news(directors: int) -> Sample:
     member = _view_with_news(directors)
-    question = view.Asked(1, Ping(director_names(directors)[1], PEER_RUN))
+    question = view.RequestReceived(1, Ping(director_names(directors)[1], PEER_RUN))
     return processor_ms(lambda: member.handle(0.0, question))
 
 
 def _probe_choice(directors: int) -> Sample:
     member = _view_with_news(directors)
-    member._news.clear()  # long after the start: what is left is the choice of whom to probe
-    due = view.TimerDue(view.Period())
+    member._gossip.clear()  # long after the start: what is left is the choice of whom to probe
+    due = view.TimerDue(view.NextProbe())
     return processor_ms(lambda: member.handle(0.0, due), rounds=31)
 
 
@@ -83,7 +83,7 @@
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
     there = tuple(names[: len(names) - dead])
     for name in names[len(names) - dead :]:
-        machine.handle(0.0, takeover.Seen(name, State.DEAD, PEER_RUN, there))
+        machine.handle(0.0, takeover.Seen(name, PeerState.DEAD, PEER_RUN, there))
     machine.handle(0.0, takeover.Listed(server_names(servers)))
     return machine
 
@@ -91,7 +91,7 @@
 def _plan_after_a_change(names: list[str], servers: int, dead: int) -> Sample:
     machine = _takeovers(names, servers, dead)
     there = tuple(names[: len(names) - dead])
-    seen = takeover.Seen(names[1], State.ALIVE, PEER_RUN + 1, there)
+    seen = takeover.Seen(names[1], PeerState.ALIVE, PEER_RUN + 1, there)
     return processor_ms(lambda: machine.handle(0.0, seen), rounds=3)
 
 
@@ -125,14 +125,14 @@
     return processor_ms(lambda: machine.handle(0.0, heard), rounds=31)
 
 
-# ---- Registers --------------------------------------------------------------------------------------------
+# ---- Proposer --------------------------------------------------------------------------------------------
 def _holders_of_a_claim(directors: int) -> Sample:
     names = frozenset(director_names(directors))
-    return processor_ms(lambda: holders_of("t/7f2c5f3e-6a51-4a0e-9a25-0d2bb9d41c55", names, 5))
+    return processor_ms(lambda: replicas_of("t/7f2c5f3e-6a51-4a0e-9a25-0d2bb9d41c55", names, 5))
 
 
-def _held_registers(keys: int) -> Holder:
-    holder = Holder(LEASE_MS, 10_000)
+def _held_registers(keys: int) -> Replica:
+    holder = Replica(LEASE_MS, 10_000)
     value = (
         '["director-00001",1790000000000,"server-00001","director-00001.19f0-1a2b-0",1790000000000,"b1c2"]'
     )
@@ -143,7 +143,7 @@
         for message in (Prepare(key, ballot, expires), Accept(key, ballot, expires, f"{value} {number}")):
             # as it comes from the wire: every string is its own
             wire = msgspec.json.decode(msgspec.json.encode(message), type=Prepare | Accept)
-            holder.handle(NOW_MS, acceptor.Asked(number, wire))
+            holder.handle(NOW_MS, acceptor.RequestReceived(number, wire))
             holder.handle(NOW_MS, acceptor.Stored(number))
     return holder
 
@@ -155,21 +155,21 @@
 def _forgetting(keys: int) -> Sample:
     ballot = Ballot(1, "director-00001")
     records = {f"t/{number}": Record(f"t/{number}", NOW_MS * 2, ballot) for number in range(keys)}
-    holder = Holder(LEASE_MS, 10_000, records=records)
+    holder = Replica(LEASE_MS, 10_000, records=records)
     clock = iter(range(NOW_MS, NOW_MS * 2, 20_000))
     # another end than the record's: refused at once, so that what is timed is the scan for what is over
-    refused = acceptor.Asked(1, Prepare("t/0", ballot, 1))
+    refused = acceptor.RequestReceived(1, Prepare("t/0", ballot, 1))
     return processor_ms(lambda: holder.handle(next(clock), refused))
 
 
 # ---- Plan makers ------------------------------------------------------------------------------------------
-def _sights() -> dict[str, Sight]:
-    return {zone: Sight(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in ZONES}
+def _sights() -> dict[str, ZoneObservation]:
+    return {zone: ZoneObservation(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in ZONES}
 
 
 def _report_bytes(zones: int) -> Sample:
     names = [f"zone-{number}" for number in range(zones)]
-    sights = {zone: Sight(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in names}
+    sights = {zone: ZoneObservation(112, 1, 2, 3, 0.98765, 784_000.0, 612_345.6, 51_234.5) for zone in names}
     message = ReportMessage("director-00001", PEER_RUN, names[0], 1.25, 0.9995, sights)
     return exact(float(len(msgspec.json.encode(message))))
 
@@ -177,23 +177,23 @@
 def _evidence(directors: int) -> Evidence:
     evidence = Evidence(ZONES)
     for number, name in enumerate(director_names(directors)):
-        evidence.hear(Report(name, PEER_RUN, ZONES[number % 9], 0.0, 0.0, 1.0, _sights()))
+        evidence.add(Report(name, PEER_RUN, ZONES[number % 9], 0.0, 0.0, 1.0, _sights()))
     return evidence
 
 
 def _judging(directors: int) -> Sample:
     evidence = _evidence(directors)
-    return processor_ms(lambda: evidence.judge(100.0))
+    return processor_ms(lambda: evidence.assess(100.0))
 
 
 def _telling_a_plan(directors: int) -> Sample:
     names = director_names(directors)
-    follower = common.Common(
-        names[0], tuple(names[1:6]), Planner(REGIONS), Evidence(ZONES), Registers("r", 1), seed=1
+    follower = agreement.PlanAgreement(
+        names[0], tuple(names[1:6]), Planner(REGIONS), Evidence(ZONES), Proposer("r", 1), seed=1
     )
-    follower.handle(0.0, common.There(frozenset(names)))
-    follower.handle(0.0, common.Told(Plan(1), 0.0))
-    return processor_ms(lambda: follower.handle(0.0, common.TellDue()), rounds=31)
+    follower.handle(0.0, agreement.MembershipChanged(frozenset(names)))
+    follower.handle(0.0, agreement.PlanReceived(Plan(1), 0.0))
+    return processor_ms(lambda: follower.handle(0.0, agreement.GossipDue()), rounds=31)
 
 
 # ---- The server list --------------------------------------------------------------------------------------
@@ -213,12 +213,12 @@
     """A server drains: what the client does with it, the copy on disk included, the disk itself left out."""
     watch = ListWatch(None, 500.0, seed=1)
     watch.handle(PollDue())
-    watch.handle(ListAnswer(_whole_list(servers)))
+    watch.handle(ListReceived(_whole_list(servers)))
     version = iter(range(2, 10**9))
 
     def change() -> None:
-        drained = Changes(next(version), (_entry(0, fl.Status.DRAINING),), ())
-        for action in watch.handle(ListAnswer(drained)):
+        drained = ListDelta(next(version), (_entry(0, fl.Status.DRAINING),), ())
+        for action in watch.handle(ListReceived(drained)):
             if isinstance(action, CacheList):
                 encode_full(action.boxes)
 
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -27,17 +27,17 @@
     BoxEntry,
     BoxList,
     CacheList,
-    ListAnswer,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
 )
 from foxlift.store import Verdict
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 SEEN_MS = 5000.0  # how long what was met of a box tells of its zone
 
@@ -149,7 +149,7 @@
                 self._taken(set_up, 0)
             case ev.PlanInForce(shares):
                 self._tell(fl.ZoneShares(shares))
-            case PollDue() | ListAnswer() | ListFailed():
+            case PollDue() | ListReceived() | ListFailed():
                 self._list(event)
             case (
                 at.IntentDurable()
@@ -175,9 +175,9 @@
         elif event.failure in LOSSES:
             self._mets[session.node] = LOSSES[event.failure], self._now
 
-    def sights(self, now: float) -> dict[str, Sight]:
+    def sights(self, now: float) -> dict[str, ZoneObservation]:
         """What this director sees of each zone that it has lately met a box of."""
-        fleet, found = self.config.fleet, dict[str, Sight]()
+        fleet, found = self.config.fleet, dict[str, ZoneObservation]()
         self._mets = {n: met for n, met in self._mets.items() if now - met[1] < SEEN_MS and n in self.boxes}
         self._shares = {n: s for n, s in self._shares.items() if now - s[1] < SEEN_MS and n in self.boxes}
         demand = sum(self.rate_kb(session, session.rung) for session in self.sessions.values())
@@ -195,7 +195,7 @@
             asked = gives * sum(uses) / len(uses) if uses else 0.0
             delivered = [self._shares[node][0] for node in there if node in self._shares]
             unmet = {node for node, met in mets.items() if met is Met.SILENT} | silent - mets.keys()
-            found[zone] = Sight(
+            found[zone] = ZoneObservation(
                 boxes=known,
                 refused=sum(met is Met.REFUSED for met in mets.values()),
                 silent=len(unmet),
@@ -683,19 +683,19 @@
             self._tell(fl.Note(found[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
-    def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
+    def _list(self, event: PollDue | ListReceived | ListFailed) -> None:
         for action in self.watch.handle(event):
             match action:
-                case TellList():
+                case PublishList():
                     self._listed(action)
                 case CacheList(boxes):
                     self._out.append(ev.SaveList(boxes))
-                case PollLater(delay_ms):
+                case SchedulePoll(delay_ms):
                     self._out.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
                     self._out.append(action)
 
-    def _listed(self, told: TellList) -> None:
+    def _listed(self, told: PublishList) -> None:
         if told.kind is fl.ListKind.FAILED:
             self._out.append(ev.Say("box list not heard"))
             self._tell(fl.NodeList(fl.ListKind.FAILED))
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -78,7 +78,7 @@
         self, name: str, boot_epoch: int, members: tuple[str, ...], log: ConfigLog, seed: int
     ) -> None:
         self._name, self._members, self._log = name, members, log
-        self._registers = registers.Registers(f"{name}.{boot_epoch}.config", seed)
+        self._registers = registers.Proposer(f"{name}.{boot_epoch}.config", seed)
         self._random = random.Random(f"{seed} proposer {name}")
         self._queue: deque[_Queued] = deque()
         self._out: _Queued | None = None
@@ -167,7 +167,7 @@
             match action:
                 case registers.Decided(_, value):
                     out += self._decided(decode_entry(value))
-                case registers.Unreached():
+                case registers.NoQuorum():
                     out += self._unreached(now)
                 case _:
                     out.append(action)
