--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -19,7 +19,7 @@
 from foxlift.ledger.journal import SNAPSHOT
 from foxlift.ledger.reconcile import Reconciler
 from foxlift.ledger.records import Charged, Record, encode, link
-from foxlift.store import DiskFiles, Intent, IntentBook, SegmentedLog
+from foxlift.store import DiskFiles, Intent, IntentLog, SegmentedLog
 
 WHEN = 1_780_000_000_000
 
@@ -60,12 +60,12 @@
     """99th percentile of what a paid set-up waits for its record, ms, one at a time."""
     loop = asyncio.get_running_loop()
     files = DiskFiles(folder, loop)
-    book = IntentBook(files, 0.0)
+    book = IntentLog(files, 0.0)
     took = []
     for k in range(count):
         began = time.perf_counter()
         done: asyncio.Future[OSError | None] = loop.create_future()
-        book.intend(Intent(f"t{k}", 2_000_000_000, "b1", f"d0.run-{k}-0"), done.set_result)
+        book.record_intent(Intent(f"t{k}", 2_000_000_000, "b1", f"d0.run-{k}-0"), done.set_result)
         await done
         took.append((time.perf_counter() - began) * 1000)
     book.close()
@@ -97,18 +97,22 @@
             taken.append((time.perf_counter() - start) * 1000)
         if k % 1000 == 0:
             await asyncio.sleep(0)
-    while journal.log.durable < journal.log.last:
+    while journal.log.durable < journal.log.last_sequence:
         await asyncio.sleep(0.01)
     journal.close()
     await asyncio.sleep(0.2)
     size = sum((folder / name).stat().st_size for name in files.names() if name.endswith(".seg"))
-    found: dict[str, float] = {"records": journal.log.last, "mb": size / 1e6, "snapshot_ms": max(taken)}
+    found: dict[str, float] = {
+        "records": journal.log.last_sequence,
+        "mb": size / 1e6,
+        "snapshot_ms": max(taken),
+    }
     found["snapshot_mb"] = (folder / SNAPSHOT).stat().st_size / 1e6
     for name in ("start_s", "whole_s"):
         start = time.perf_counter()
         again = Journal(files)
         found[name] = time.perf_counter() - start
-        found[f"{name}_records_read"] = journal.log.last - again.read_from
+        found[f"{name}_records_read"] = journal.log.last_sequence - again.read_from
         again.close()
         files.remove(SNAPSHOT)
     found["tokens_kept"] = len(again.book.account.charged)
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -168,7 +168,7 @@
     Finding(
         Kind.GROWS,
         "foxlift/store/intents.py",
-        "`IntentBook`",
+        "`IntentLog`",
         "the record of paid set-ups is written anew at a start only",
         worked_out="known before: the roadmap, embedded store",
         mend="rewrite as the registers' book does",
--- a/foxlift/cli/ledger.py
+++ b/foxlift/cli/ledger.py
@@ -170,7 +170,7 @@
             now = int(time.time() * 1000)
             journal.handle(now, TimeCame())
             journal.handle(now, event)
-            while journal.log.durable < journal.log.last and not failed:
+            while journal.log.durable < journal.log.last_sequence and not failed:
                 await asyncio.sleep(0.005)
             journal.close()
         finally:
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -35,7 +35,7 @@
 from foxlift.http import Exchange, Failure, Headers, Response
 from foxlift.ledger import Ended, Journal
 from foxlift.recovery.claims import Claim
-from foxlift.store import FilePort, IntentBook
+from foxlift.store import FilePort, IntentLog
 from foxlift.telemetry import Counters
 from foxlift.tokens import SessionToken
 from foxlift.zones.evidence import Sight
@@ -89,7 +89,7 @@
         """The ledger."""
 
     @property
-    def book(self) -> IntentBook:
+    def intent_log(self) -> IntentLog:
         """Its record of paid set-ups."""
 
     @property
@@ -236,7 +236,7 @@
 
     def ask_about(self, number: int, token: str) -> None:
         """A request whose token an earlier run had: its box knows more than the record."""
-        known = self.daemon.book.known.get(token)
+        known = self.daemon.intent_log.recovered.get(token)
         parts = known.set_up.rsplit("-", 2)[0].rpartition(".")[2] if known is not None else ""
         held = self._routed(number)
         if held is None:
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -35,7 +35,7 @@
     PollLater,
     TellList,
 )
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 from foxlift.tokens import SessionToken
 from foxlift.zones.evidence import Sight
 
@@ -128,7 +128,7 @@
             case ev.TimerDue(token):
                 self._tell(fl.Wake(token))
             case ev.Remembered(known):
-                played = known.verdict in (Verdict.STARTED, Verdict.ENDED)
+                played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
                 self._claim(cl.Recalled(known.token, known.expires, played))
                 # a death may have come between the box's answer and the ledger's record of it
                 ends = int(known.expires * 1000)
@@ -509,7 +509,7 @@
         session = self.sessions[told.session]
         session.started, session.since = self._now, told.when
         if session.paid and session.place is None:
-            self._out.append(ev.SettleIntent(session.token.id, Verdict.STARTED))
+            self._out.append(ev.SettleIntent(session.token.id, IntentOutcome.STARTED))
         set_up = self.attempts.set_up_id(told.session, told.attempt)
         self._out.append(ev.Account(self._opened(session, told.when or int(self._now), set_up)))
         self._tell(fl.Started(told.session, told.node, told.attempt, 0.0))
@@ -544,8 +544,14 @@
         set_up = told.set_up
         kept = session.place is None or told.playing
         if session.paid and not told.parked and kept and not session.unclaimed:
-            verdict = Verdict.ENDED if told.playing else Verdict.MAY_HAVE_RUN if ran else Verdict.NEVER_RAN
-            self._out.append(ev.SettleIntent(session.token.id, verdict))
+            outcome = (
+                IntentOutcome.ENDED
+                if told.playing
+                else IntentOutcome.MAY_HAVE_RUN
+                if ran
+                else IntentOutcome.NEVER_RAN
+            )
+            self._out.append(ev.SettleIntent(session.token.id, outcome))
         if told.playing:
             ended = lg.Ended(told.when or int(self._now), set_up, estimated=not told.when)
             self._out.append(ev.Account(ended))
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -38,7 +38,7 @@
 from foxlift.ledger.book import ALIVE_EVERY_MS
 from foxlift.logic import Director
 from foxlift.membership import Poll, PollDue
-from foxlift.store import DiskFiles, FilePort, IntentBook
+from foxlift.store import DiskFiles, FilePort, IntentLog
 from foxlift.telemetry import Counters
 from foxlift.tokens import TokenError, Verifier, load_keys
 
@@ -120,7 +120,7 @@
             on_failed=self._ledger_failed,
             keep_open=config.peers.on,
         )
-        self.book = IntentBook(self.files, self.journal.book.account.forgot / 1000)
+        self.intent_log = IntentLog(self.files, self.journal.book.account.forgot / 1000)
         self.exports = self._make_exports()
 
     def _make_configuration(self) -> ConfigurationFeed | None:
@@ -150,7 +150,7 @@
         self.pools = ServerPools(config, loop, lambda: self.core.boxes)
         self.commands = ServerCommands(config, self.timeline, self.counters, self.pools, ownership, feed)
         self.streams = NoticeStreams(config.name, loop, self.pools, ownership, lambda: self.core.run, feed)
-        self._intents = IntentWriter(config, self.timeline, self.counters, self.book, feed)
+        self._intents = IntentWriter(config, self.timeline, self.counters, self.intent_log, feed)
 
     def _make_front(self) -> None:
         """The viewers' listener, and what reads and answers their requests."""
@@ -177,7 +177,7 @@
     # ---- Life ---------------------------------------------------------------------------------------------
     async def start(self) -> int:
         """Listen, recall paid set-ups, ask for the box list; gives back the port."""
-        for known in self.book.known.values():
+        for known in self.intent_log.recovered.values():
             self.feed(events.Remembered(known))
         if self.cluster is not None:
             self.cluster.start_ledger()
@@ -191,7 +191,7 @@
         port = await self.server.listen(self.config.front.host, self.config.front.port)
         self.url = self.config.front.url or f"http://{self.config.front.host}:{port}"
         self.answers.url = self.url
-        self.log.info("listening", url=self.url, recalled=len(self.book.known))
+        self.log.info("listening", url=self.url, recalled=len(self.intent_log.recovered))
         return port
 
     async def stop(self, grace_ms: float | None = None) -> None:
@@ -217,7 +217,7 @@
     def _flushed(self) -> bool:
         registers = self.cluster is None or self.cluster.service.flushed
         configuration = self.configuration is None or self.configuration.flushed
-        return self.book.flushed and self.journal.log.flushed and registers and configuration
+        return self.intent_log.flushed and self.journal.log.flushed and registers and configuration
 
     def superseded(self) -> None:
         """Another process has this director's name: this one must do nothing more."""
@@ -238,7 +238,7 @@
             self.configuration.close()
         self.pools.close()
         self._list_client.close()
-        self.book.close()
+        self.intent_log.close()
         self.journal.close()
         if self._disk is not None:
             self._disk.close()
@@ -393,7 +393,7 @@
                 self.cluster.service.token_claims.claim(action, lambda: self._intents.write(action))
             case events.KeepIntent():
                 self._intents.write(action)
-            case events.SettleIntent(token, verdict):
-                self.book.settle(token, verdict)
+            case events.SettleIntent(token, outcome):
+                self.intent_log.record_outcome(token, outcome)
             case events.Account(entry):
                 self.journal.handle(int(self.timeline.now()), entry)
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -11,7 +11,7 @@
 from foxlift.ledger import Ended, Ran, Rerung, Started, TurnedAway
 from foxlift.membership import BoxList, ListAnswer, ListFailed, Poll, PollDue
 from foxlift.recovery.claims import Claim
-from foxlift.store import Known, Verdict
+from foxlift.store import IntentOutcome, RecoveredIntent
 from foxlift.tokens import SessionToken
 
 
@@ -75,7 +75,7 @@
 class Remembered:
     """A paid set-up from the record, at the start."""
 
-    known: Known
+    known: RecoveredIntent
 
 
 @dataclass(frozen=True, slots=True)
@@ -275,7 +275,7 @@
     """Record what became of it."""
 
     token: str
-    verdict: Verdict
+    outcome: IntentOutcome
 
 
 @dataclass(frozen=True, slots=True)
--- a/foxlift/director/intent_writer.py
+++ b/foxlift/director/intent_writer.py
@@ -10,7 +10,7 @@
 from foxlift.decide import attempts
 from foxlift.director import events
 from foxlift.director.timeline import Timeline
-from foxlift.store import Intent, IntentBook
+from foxlift.store import Intent, IntentLog
 from foxlift.telemetry import Counters
 
 
@@ -22,11 +22,11 @@
         config: DirectorConfig,
         timeline: Timeline,
         counters: Counters,
-        book: IntentBook,
+        intent_log: IntentLog,
         feed: Callable[[events.Event], None],
     ) -> None:
         self._config, self._timeline, self._counters = config, timeline, counters
-        self._book, self._feed = book, feed
+        self._intent_log, self._feed = intent_log, feed
         self._log = structlog.get_logger().bind(director=config.name)
 
     def write(self, keep: events.KeepIntent) -> None:
@@ -57,7 +57,7 @@
             self._log.error("the disk is too slow for paid set-ups", session=keep.session)
             self._feed(attempts.IntentFailed(keep.session, keep.attempt))
 
-        self._book.intend(self._intent(keep), written)
+        self._intent_log.record_intent(self._intent(keep), written)
         self._timeline.later(self._config.front.intent_ms, too_late)
 
     def _intent(self, keep: events.KeepIntent) -> Intent:
--- a/foxlift/ledger/journal.py
+++ b/foxlift/ledger/journal.py
@@ -130,7 +130,7 @@
             found = read_snapshot(data, SNAPSHOT)
         except LogError:
             return None  # the log is read whole
-        if found.number > self.log.last or not found.fits(tariff):
+        if found.number > self.log.last_sequence or not found.fits(tariff):
             return None
         for _, linked in read_records(self._files, found.number - 1):
             return found if linked.chain == found.chain else None
@@ -138,9 +138,9 @@
 
     def _perhaps_snapshot(self) -> None:
         """Take one when it is due; it is written only once the log lasts up to there."""
-        if self.log.last - self._snapshot_at < self._snapshot_every:
+        if self.log.last_sequence - self._snapshot_at < self._snapshot_every:
             return
-        number = self._snapshot_at = self.log.last
+        number = self._snapshot_at = self.log.last_sequence
         self._pending_snapshot = (number, encode_snapshot(self.book, self._logged, number, self.last_billed))
         self._write_snapshot()
 
@@ -151,7 +151,7 @@
         self._pending_snapshot = None
         self.snapshots += 1
         # one that cannot be written is not missed: the next start reads more of the log
-        self._files.replace_later(SNAPSHOT, pending[1], lambda error: None)
+        self._files.replace_async(SNAPSHOT, pending[1], lambda error: None)
 
     def write(self, record: Record, done: Callable[[], None]) -> None:
         """Append a record of the exports; `done` once it lasts, never where it may not."""
--- a/foxlift/ledger/snapshot.py
+++ b/foxlift/ledger/snapshot.py
@@ -14,7 +14,7 @@
 from foxlift.ledger.export import Standing
 from foxlift.ledger.records import Adjusted, Batched
 from foxlift.ledger.tariff import Tariff
-from foxlift.store import LogError, seal, unseal
+from foxlift.store import LogError, decode_checked_file, encode_checked_file
 
 KIND, VERSION = b"FOXLLSNP", 1
 
@@ -146,12 +146,12 @@
         exported=standing.last,
         pending=standing.pending,
     )
-    return seal(KIND, VERSION, msgspec.msgpack.encode(form))
+    return encode_checked_file(KIND, VERSION, msgspec.msgpack.encode(form))
 
 
 def read_snapshot(data: bytes, name: str) -> Snapshot:
     """Raises LogError."""
     try:
-        return Snapshot(msgspec.msgpack.decode(unseal(KIND, VERSION, data, name), type=_Form))
+        return Snapshot(msgspec.msgpack.decode(decode_checked_file(KIND, VERSION, data, name), type=_Form))
     except msgspec.MsgspecError as error:
         raise LogError(f"{name}: {error}") from error
--- a/foxlift/store/__init__.py
+++ b/foxlift/store/__init__.py
@@ -1,26 +1,26 @@
 """What must outlast the process: an append log behind a file port, and the record of paid set-ups."""
 
+from foxlift.store.checked_file import decode_checked_file, encode_checked_file
 from foxlift.store.files import DiskFiles, FilePort, SyncFile
-from foxlift.store.intents import Intent, IntentBook, Known, Verdict
+from foxlift.store.intents import Intent, IntentLog, IntentOutcome, RecoveredIntent
 from foxlift.store.log import LogError, LogReader, encode_frame, encode_header
-from foxlift.store.sealed import seal, unseal
-from foxlift.store.segments import Entry, SegmentedLog, read_log
+from foxlift.store.segments import LogEntry, SegmentedLog, read_log
 
 __all__ = [
     "DiskFiles",
-    "Entry",
     "FilePort",
     "Intent",
-    "IntentBook",
-    "Known",
+    "IntentLog",
+    "IntentOutcome",
+    "LogEntry",
     "LogError",
     "LogReader",
+    "RecoveredIntent",
     "SegmentedLog",
     "SyncFile",
-    "Verdict",
+    "decode_checked_file",
+    "encode_checked_file",
     "encode_frame",
     "encode_header",
     "read_log",
-    "seal",
-    "unseal",
 ]
--- a/foxlift/store/sealed.py
+++ b/foxlift/store/checked_file.py
@@ -18,13 +18,13 @@
 _CRC = struct.Struct("<I")
 
 
-def seal(kind: bytes, version: int, payload: bytes) -> bytes:
+def encode_checked_file(kind: bytes, version: int, payload: bytes) -> bytes:
     """The file's bytes. `kind` is eight bytes."""
     head = _HEAD.pack(kind, version, len(payload))
     return head + _CRC.pack(google_crc32c.extend(google_crc32c.value(head), payload)) + payload
 
 
-def unseal(kind: bytes, version: int, data: bytes, name: str) -> bytes:
+def decode_checked_file(kind: bytes, version: int, data: bytes, name: str) -> bytes:
     """The payload. Raises LogError that names file and cause; other versions are not read."""
     start = _HEAD.size + _CRC.size
     if len(data) < start:
--- a/foxlift/store/files.py
+++ b/foxlift/store/files.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Protocol
 
-Done = Callable[[OSError | None], None]
+WriteCallback = Callable[[OSError | None], None]
 
 
 class SyncFile(Protocol):
     """A file that is only ever appended to."""
 
-    def write_sync(self, data: bytes, done: Done) -> None:
+    def write_sync(self, data: bytes, done: WriteCallback) -> None:
         """Append and make durable; `done(None)` once it lasts, `done(error)` where it may not."""
 
     def close(self) -> None:
@@ -30,7 +30,7 @@
 
 
 class FilePort(Protocol):
-    """The few operations on files that the store needs. All but `write_sync` and `replace_later` wait: for
+    """The few operations on files that the store needs. All but `write_sync` and `replace_async` wait: for
     start and stop."""
 
     def read(self, name: str) -> bytes | None:
@@ -39,7 +39,7 @@
     def replace(self, name: str, data: bytes) -> None:
         """Put a whole file in place so that either the old or the new one is there after power loss."""
 
-    def replace_later(self, name: str, data: bytes, done: Done) -> None:
+    def replace_async(self, name: str, data: bytes, done: WriteCallback) -> None:
         """The same without waiting; `done` as with `write_sync`."""
 
     def open_append(self, name: str) -> SyncFile:
@@ -80,7 +80,7 @@
         os.replace(draft, path)
         self._sync_folder()
 
-    def replace_later(self, name: str, data: bytes, done: Done) -> None:
+    def replace_async(self, name: str, data: bytes, done: WriteCallback) -> None:
         def work() -> OSError | None:
             try:
                 self.replace(name, data)
@@ -131,7 +131,7 @@
         self._descriptor: int | None = None  # opened on the disk's thread, never on the loop
         self._failed: OSError | None = None
 
-    def write_sync(self, data: bytes, done: Done) -> None:
+    def write_sync(self, data: bytes, done: WriteCallback) -> None:
         future = self._files.loop.run_in_executor(self._files.executor, self._write, data)
         future.add_done_callback(lambda f: done(f.result()))
 
--- a/foxlift/store/groups.py
+++ b/foxlift/store/groups.py
@@ -7,7 +7,7 @@
 
 import errno
 
-from foxlift.store.files import Done, FilePort, SyncFile
+from foxlift.store.files import FilePort, SyncFile, WriteCallback
 
 
 class GroupWriter:
@@ -18,11 +18,11 @@
         self._file: SyncFile = files.open_append(name)
         self.failed: OSError | None = None
         self._gathering: list[bytes] = []
-        self._waiting: list[Done] = []
+        self._waiting: list[WriteCallback] = []
         self._writing = self._closed = False
         self._whole: bytes | None = None
 
-    def append(self, data: bytes, done: Done | None = None) -> None:
+    def append(self, data: bytes, done: WriteCallback | None = None) -> None:
         """Append with the next group. Never calls `done` from inside, but where the file has failed."""
         self._gathering.append(data)
         if done is not None:
@@ -57,9 +57,9 @@
                 self._file = self._files.open_append(self._name)
             self._written(error, waiting)
 
-        self._files.replace_later(self._name, whole + data, replaced)
+        self._files.replace_async(self._name, whole + data, replaced)
 
-    def _written(self, error: OSError | None, waiting: list[Done]) -> None:
+    def _written(self, error: OSError | None, waiting: list[WriteCallback]) -> None:
         self._writing = False
         self.failed = self.failed or error
         for done in waiting:
--- a/foxlift/store/log.py
+++ b/foxlift/store/log.py
@@ -4,8 +4,8 @@
     frame    u32 length of payload | u64 sequence number | u32 crc32c of these twelve and payload | payload
 
 Numbers are little-endian; sequence numbers rise by one from 1. A frame that is cut short or fails its
-checksum at the very end is a torn tail: it was never acknowledged, and what is before it stands. Damage with
-whole frames behind it is no torn tail and is reported by its offset.
+checksum at the very end is a torn tail: it was never acknowledged, and the frames before it are valid. A
+damaged frame with whole frames after it is not a torn tail and is reported by its offset.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 
 @dataclass
 class LogReader:
-    """Reads a log from its bytes. `good` is the offset up to which it is whole, `torn` what follows."""
+    """Reads a log from its bytes: `valid_bytes` of whole frames, then `torn_bytes` of an incomplete one."""
 
     name: str
     data: bytes
     payloads: list[bytes] = field(default_factory=list)
-    good: int = 0
-    last: int = 0
+    valid_bytes: int = 0
+    last_sequence: int = 0
 
     def __post_init__(self) -> None:
         data = self.data
@@ -66,16 +66,16 @@
             raise LogError(f"{self.name}: offset 0: not a log of this program, or its header is damaged")
         if version > VERSION:
             raise LogError(f"{self.name}: written by a newer program (format {version}, known {VERSION})")
-        self.good = _HEADER.size
-        while (end := self._frame_end(self.good, self.last + 1)) is not None:
-            self.payloads.append(data[self.good + _FRAME.size : end])
-            self.good, self.last = end, self.last + 1
+        self.valid_bytes = _HEADER.size
+        while (end := self._frame_end(self.valid_bytes, self.last_sequence + 1)) is not None:
+            self.payloads.append(data[self.valid_bytes + _FRAME.size : end])
+            self.valid_bytes, self.last_sequence = end, self.last_sequence + 1
         self._check_tail()
 
     @property
-    def torn(self) -> int:
+    def torn_bytes(self) -> int:
         """How many bytes at the end are no whole record."""
-        return len(self.data) - self.good
+        return len(self.data) - self.valid_bytes
 
     def _frame_end(self, at: int, sequence: int) -> int | None:
         if at + _FRAME.size > len(self.data):
@@ -89,13 +89,16 @@
 
     def _check_tail(self) -> None:
         """A whole later frame behind the damage: acknowledged records are lost, and that is said."""
-        tail = self.data[self.good :]
+        tail = self.data[self.valid_bytes :]
         for ahead in range(1, 65):
-            needle = struct.pack("<Q", self.last + 1 + ahead)
+            needle = struct.pack("<Q", self.last_sequence + 1 + ahead)
             at = tail.find(needle)
             while at >= 0:
-                if at >= 4 and self._frame_end(self.good + at - 4, self.last + 1 + ahead) is not None:
+                if (
+                    at >= 4
+                    and self._frame_end(self.valid_bytes + at - 4, self.last_sequence + 1 + ahead) is not None
+                ):
                     raise LogError(
-                        f"{self.name}: offset {self.good}: a damaged record with whole ones behind it"
+                        f"{self.name}: offset {self.valid_bytes}: a damaged record with whole ones behind it"
                     )
                 at = tail.find(needle, at + 1)
--- a/foxlift/store/segments.py
+++ b/foxlift/store/segments.py
@@ -1,10 +1,10 @@
-"""A log in segments: durable appends in groups, recovery that cuts a torn tail, reading from any sequence
+"""A log in segments: durable appends in groups, recovery that cuts off a torn tail, reading from any sequence
 number.
 
-Files are `{name}-{first sequence}.seg`, each a log as `foxlift.store.log` has it, except that its frames go
-on counting where the segment before ended. A segment that is full is closed and never written again; only the
-last one may have a torn tail. Records are acknowledged by a callback once they are durable, in the order in
-which they were appended; when the disk has failed every later append fails at once.
+Files are `{name}-{first sequence}.seg`, each a log in the format of `foxlift.store.log`, except that its
+frames continue the numbering of the previous segment. A full segment is closed and never written again; only
+the last one may have a torn tail. Records are acknowledged by a callback once they are durable, in the order
+in which they were appended. After a disk error every later append fails at once.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 SEGMENT_BYTES = 64 << 20
 
-Acknowledge = Callable[[OSError | None], None]
+AppendCallback = Callable[[OSError | None], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class LogEntry:
     """One record of the log."""
 
     sequence: int
@@ -44,7 +44,7 @@
     return sorted(found)
 
 
-def read_log(files: FilePort, name: str, after: int = 0) -> Iterator[Entry]:
+def read_log(files: FilePort, name: str, after: int = 0) -> Iterator[LogEntry]:
     """Every whole record with a sequence number above `after`, oldest first.
 
     Raises LogError where a segment is missing, damaged before its end, or cut short with others behind it.
@@ -55,18 +55,20 @@
         if not last_segment and segments[k + 1][0] <= after + 1:
             continue
         reader = _read(files, file, first)
-        if not last_segment and (reader.torn or reader.last + 1 != segments[k + 1][0]):
-            raise LogError(f"{file}: ends at record {reader.last}; {segments[k + 1][1]} does not follow it")
+        if not last_segment and (reader.torn_bytes or reader.last_sequence + 1 != segments[k + 1][0]):
+            raise LogError(
+                f"{file}: ends at record {reader.last_sequence}; {segments[k + 1][1]} does not follow it"
+            )
         for number, payload in enumerate(reader.payloads, first):
             if number > after:
-                yield Entry(number, payload)
+                yield LogEntry(number, payload)
 
 
 def _read(files: FilePort, file: str, first: int) -> LogReader:
     data = files.read(file)
     if data is None:
         raise LogError(f"{file}: gone while it was read")
-    return LogReader(file, data, last=first - 1)
+    return LogReader(file, data, last_sequence=first - 1)
 
 
 class SegmentedLog:
@@ -75,42 +77,45 @@
     def __init__(self, files: FilePort, name: str, segment_bytes: int = SEGMENT_BYTES) -> None:
         """Opens the log, cuts a torn tail off and gives up what is in it. Raises OSError and LogError."""
         self._files, self._name, self._limit = files, name, segment_bytes
-        self.cut_bytes = 0
+        self.truncated_bytes = 0
         self.failed: OSError | None = None
         self._gathering: list[bytes] = []
-        self._waiting: list[Acknowledge] = []
+        self._waiting: list[AppendCallback] = []
         self._writing = self._closed = False
         segments = _segments(files, name)
-        self.last = self._size = 0
+        self.last_sequence = self._size = 0
         self._file: SyncFile | None = None
         if segments:
             first, file = segments[-1]
             reader = _read(files, file, first)
-            self.cut_bytes = reader.torn
-            if reader.torn or not reader.good:
-                files.replace(file, reader.data[: reader.good] or encode_header())
-            self.last, self._size = reader.last, max(reader.good, len(encode_header()))
+            self.truncated_bytes = reader.torn_bytes
+            if reader.torn_bytes or not reader.valid_bytes:
+                files.replace(file, reader.data[: reader.valid_bytes] or encode_header())
+            self.last_sequence, self._size = (
+                reader.last_sequence,
+                max(reader.valid_bytes, len(encode_header())),
+            )
             self._file = files.open_append(file)
-        self.durable = self.last
+        self.durable = self.last_sequence
 
-    def append(self, payload: bytes, done: Acknowledge | None = None) -> int:
+    def append(self, payload: bytes, done: AppendCallback | None = None) -> int:
         """Append a record; gives back its sequence number, and calls `done` once it lasts or cannot.
 
         Raises LogError for a payload that is too large; nothing is appended then.
         """
-        frame = encode_frame(self.last + 1, payload)
-        self.last += 1
+        frame = encode_frame(self.last_sequence + 1, payload)
+        self.last_sequence += 1
         self._gathering.append(frame)
         if done is not None:
             self._waiting.append(done)
         self._write()
-        return self.last
+        return self.last_sequence
 
     def _write(self) -> None:
         if self._writing or not self._gathering:
             return
         data = b"".join(self._gathering)
-        waiting, upto, count = self._waiting, self.last, len(self._gathering)
+        waiting, upto, count = self._waiting, self.last_sequence, len(self._gathering)
         self._gathering, self._waiting = [], []
         if self._closed and self.failed is None:
             self.failed = OSError(errno.EBADF, "the log is closed")
@@ -128,7 +133,7 @@
         self._size += len(data)
         self._file.write_sync(data, lambda error: self._written(error, waiting, upto))
 
-    def _written(self, error: OSError | None, waiting: list[Acknowledge], upto: int) -> None:
+    def _written(self, error: OSError | None, waiting: list[AppendCallback], upto: int) -> None:
         self._writing = False
         if error is None:
             self.durable = upto
@@ -141,7 +146,7 @@
     @property
     def flushed(self) -> bool:
         """Whether all that was appended lasts, or cannot any more."""
-        return self.durable == self.last or self.failed is not None
+        return self.durable == self.last_sequence or self.failed is not None
 
     def close(self) -> None:
         """Let go of the file; what is under way still ends, what waits for it fails: flush before."""
--- a/tests/memory.py
+++ b/tests/memory.py
@@ -5,7 +5,7 @@
 import errno
 import os
 
-from foxlift.store.files import Done, SyncFile
+from foxlift.store.files import SyncFile, WriteCallback
 
 
 class MemoryFiles:
@@ -15,7 +15,7 @@
         self.data = dict(data or {})
         self.hold = self.broken = False
         self.error = errno.EIO
-        self.held: list[tuple[str, bytes, Done]] = []
+        self.held: list[tuple[str, bytes, WriteCallback]] = []
 
     def read(self, name: str) -> bytes | None:
         return self.data.get(name)
@@ -23,7 +23,7 @@
     def replace(self, name: str, data: bytes) -> None:
         self.data[name] = data
 
-    def replace_later(self, name: str, data: bytes, done: Done) -> None:
+    def replace_async(self, name: str, data: bytes, done: WriteCallback) -> None:
         self.replace(name, data)
         done(None)
 
@@ -44,7 +44,7 @@
         for name, data, done in held:
             self._end(name, data, done)
 
-    def _end(self, name: str, data: bytes, done: Done) -> None:
+    def _end(self, name: str, data: bytes, done: WriteCallback) -> None:
         if self.broken:
             done(OSError(self.error, os.strerror(self.error)))
             return
@@ -56,7 +56,7 @@
     def __init__(self, files: MemoryFiles, name: str) -> None:
         self.files, self.name = files, name
 
-    def write_sync(self, data: bytes, done: Done) -> None:
+    def write_sync(self, data: bytes, done: WriteCallback) -> None:
         if self.files.hold:
             self.files.held.append((self.name, data, done))
         else:
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -15,7 +15,7 @@
 
 from foxlift import interface as fl
 from foxlift.ledger import TurnedAway
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 
 
 def cap_of(reply: Reply) -> int:
@@ -215,7 +215,7 @@
         assert (await world.manifest(paid)).status == 200
         assert world.set_ups("a") == 1
         again = world.new_director(files=MemoryFiles(files.data))
-        assert again.book.known["a"].verdict is Verdict.STARTED
+        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     edit = "(front (port 0) => (front (port 0) (intent-ms 150)"
     run(tmp_path, test, files=files, edit=edit)
@@ -544,6 +544,6 @@
     async def test(world: World) -> None:
         assert (await world.manifest(world.token("a", "graded"))).status == 200
         again = world.new_director(files=MemoryFiles(files.data))
-        assert again.book.known["a"].verdict is Verdict.STARTED
+        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=files)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,7 +14,7 @@
 from foxlift import interface as fl
 from foxlift.config import ConfigError
 from foxlift.http import Cors
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 
 PREFLIGHT = (
     "origin: http://page.example\r\naccess-control-request-method: GET\r\n"
@@ -269,9 +269,9 @@
         account = world.director.journal.book.account
         assert [use.attempts for line, use in account.lines.items() if line.rung < 0] == [1]
         assert len(account.open) == 1
-        assert world.director.book is not None
-        kept = world.new_director(files=MemoryFiles(disk.data)).book.known["a"]
-        assert kept.verdict is Verdict.STARTED
+        assert world.director.intent_log is not None
+        kept = world.new_director(files=MemoryFiles(disk.data)).intent_log.recovered["a"]
+        assert kept.outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=disk)
 
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -160,7 +160,7 @@
             assert [use.attempts for use in account.lines.values()] == [1]
             again.close()
             files = MemoryFiles(disk.data)
-        assert again.book.known == {}, "an intent that the ledger has is not kept for ever"
+        assert again.intent_log.recovered == {}, "an intent that the ledger has is not kept for ever"
 
     run(tmp_path, test, files=disk)
 
@@ -182,7 +182,7 @@
         assert set(account.charged) == {"a"}
         assert [use.attempts_estimated for use in account.lines.values()] == [1]
         assert sorted(what for _, _, _, what in account.counts) == ["failed", "refused"]
-        assert world.director.book.known == {}
+        assert world.director.intent_log.recovered == {}
         assert account_of(disk.data).lines == account.lines
 
     run(tmp_path, test, files=disk)
@@ -202,7 +202,9 @@
 
         await asyncio.gather(*map(watch, range(4)))
         await world.until(lambda: not world.director.core.sessions)
-        await world.until(lambda: world.director.journal.log.durable == world.director.journal.log.last)
+        await world.until(
+            lambda: world.director.journal.log.durable == world.director.journal.log.last_sequence
+        )
 
     run(tmp_path, test, taps=True)
     state = tmp_path / "state-d0"
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -516,7 +516,7 @@
     def replace(self, name: str, data: bytes) -> None:
         self.files[name] = data
 
-    def replace_later(self, name: str, data: bytes, done) -> None:  # type: ignore[no-untyped-def]
+    def replace_async(self, name: str, data: bytes, done) -> None:  # type: ignore[no-untyped-def]
         self.files[name] = data
         done(None)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,11 +15,11 @@
 from foxlift.store import (
     DiskFiles,
     Intent,
-    IntentBook,
+    IntentLog,
+    IntentOutcome,
     LogError,
     LogReader,
     SegmentedLog,
-    Verdict,
     encode_frame,
     encode_header,
     read_log,
@@ -37,7 +37,7 @@
         reader = LogReader("log", LOG[:cut])
         whole = sum(1 for end in ENDS[1:] if end <= cut)
         assert reader.payloads == PAYLOADS[:whole]
-        assert reader.good + reader.torn == cut
+        assert reader.valid_bytes + reader.torn_bytes == cut
 
 
 def test_every_byte_flipped_is_found() -> None:
@@ -66,13 +66,13 @@
         encode_frame(1, b"y" * (1 << 21))
 
 
-def book(files: MemoryFiles, now: float = 0.0) -> IntentBook:
-    return IntentBook(files, now)
+def book(files: MemoryFiles, now: float = 0.0) -> IntentLog:
+    return IntentLog(files, now)
 
 
-def intend(made: IntentBook, token: str, expires: int = 100) -> list[OSError | None]:
+def intend(made: IntentLog, token: str, expires: int = 100) -> list[OSError | None]:
     told: list[OSError | None] = []
-    made.intend(Intent(token, expires, "b1", f"d-{token}-0"), told.append)
+    made.record_intent(Intent(token, expires, "b1", f"d-{token}-0"), told.append)
     return told
 
 
@@ -82,24 +82,24 @@
     assert intend(made, "a") == [None]
     assert intend(made, "b") == [None]
     assert intend(made, "c") == [None]
-    made.settle("b", Verdict.NEVER_RAN)
-    made.settle("c", Verdict.STARTED)
+    made.record_outcome("b", IntentOutcome.NEVER_RAN)
+    made.record_outcome("c", IntentOutcome.STARTED)
     again = book(files)
-    assert {t: k.verdict for t, k in again.known.items()} == {
-        "a": Verdict.MAY_HAVE_RUN,
-        "c": Verdict.STARTED,
+    assert {t: k.outcome for t, k in again.recovered.items()} == {
+        "a": IntentOutcome.MAY_HAVE_RUN,
+        "c": IntentOutcome.STARTED,
     }
-    assert again.known["a"].box == "b1"
+    assert again.recovered["a"].box == "b1"
     # written anew at the start, it reads the same
-    assert book(files).known == again.known
+    assert book(files).recovered == again.recovered
 
 
 def test_what_has_expired_is_forgotten() -> None:
     files = MemoryFiles()
     intend(book(files), "a", expires=100)
-    assert set(book(files, 99.0).known) == {"a"}
-    assert set(book(files, 100.0).known) == set()
-    assert set(book(files, 0.0).known) == set()
+    assert set(book(files, 99.0).recovered) == {"a"}
+    assert set(book(files, 100.0).recovered) == set()
+    assert set(book(files, 0.0).recovered) == set()
 
 
 def test_a_record_cut_at_any_byte_keeps_every_acknowledged_intent() -> None:
@@ -112,7 +112,7 @@
     data = files.data["intents.log"]
     for cut in range(len(data) + 1):
         again = book(MemoryFiles({"intents.log": data[:cut]}))
-        assert set(again.known) == {token for token, size in sizes.items() if size <= cut}
+        assert set(again.recovered) == {token for token, size in sizes.items() if size <= cut}
 
 
 def test_intents_gather_while_a_sync_runs_and_nothing_is_told_before_it_lasts() -> None:
@@ -143,18 +143,18 @@
         made = book(MemoryFiles({"intents.log": data}))
     except LogError:
         return
-    assert made.known == {}
+    assert made.recovered == {}
 
 
 def test_a_real_file_lasts_and_its_first_failure_is_its_last(tmp_path: Path) -> None:
     async def main() -> None:
         files = DiskFiles(tmp_path / "state", asyncio.get_running_loop())
-        made = IntentBook(files, 0.0)
+        made = IntentLog(files, 0.0)
         done = asyncio.get_running_loop().create_future()
-        made.intend(Intent("a", 100, "b1", "d-1-0"), done.set_result)
+        made.record_intent(Intent("a", 100, "b1", "d-1-0"), done.set_result)
         assert await done is None
         made.close()
-        assert set(IntentBook(files, 0.0).known) == {"a"}
+        assert set(IntentLog(files, 0.0).recovered) == {"a"}
         file = files.open_append("other")
         file.close()
         for _ in range(2):
@@ -194,10 +194,10 @@
     files = MemoryFiles()
     for begin in (1, 11, 21):
         log = SegmentedLog(files, "l", segment_bytes=120)
-        assert log.last == begin - 1
+        assert log.last_sequence == begin - 1
         for k in range(begin, begin + 10):
             assert log.append(b"record %d" % k) == k
-        assert log.durable == log.last
+        assert log.durable == log.last_sequence
         log.close()
     assert len(files.names()) > 5
     assert entries(files) == [(k, b"record %d" % k) for k in range(1, 31)]
@@ -216,7 +216,7 @@
         damaged.data[last] = damaged.data[last][:cut]
         kept = [k for k, (name, end) in ends.items() if name != last or end <= cut]
         again = SegmentedLog(damaged, "l", segment_bytes=100)
-        assert again.last == len(kept)
+        assert again.last_sequence == len(kept)
         again.append(b"more")
         assert entries(damaged) == [(k, b"record %d" % k) for k in kept] + [(len(kept) + 1, b"more")]
 
