--- a/bench/scale/data_path_scans.py
+++ b/bench/scale/data_path_scans.py
@@ -216,12 +216,12 @@
 
 def _sights_by_sessions(sessions: int) -> Sample:
     core = _http_core(sessions, 0)
-    return processor_ms(lambda: core.sights(NOW_MS))
+    return processor_ms(lambda: core.zone_evidence(NOW_MS))
 
 
 def _sights_by_servers(servers: int) -> Sample:
     core = _http_core(0, servers)
-    return processor_ms(lambda: core.sights(NOW_MS))
+    return processor_ms(lambda: core.zone_evidence(NOW_MS))
 
 
 SCANS = (
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -135,7 +135,7 @@
         """Never called."""
         raise NotImplementedError
 
-    def boot_of(self, keep: events.KeepIntent) -> str:
+    def boot_of(self, keep: events.PersistIntent) -> str:
         """Never called."""
         raise NotImplementedError
 
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -78,7 +78,7 @@
             asked_at[daemon._last_request + 1] = exchange.request.arrived
             asked(exchange)
 
-        def on_put(action: ev.PutSetUp) -> None:
+        def on_put(action: ev.SendSetUp) -> None:
             put(action)
             number = action.session.number
             spent[number] = loop.time() - asked_at.get(daemon._last_request, loop.time())
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -16,7 +16,7 @@
 from foxlift.http.messages import encode_head
 from foxlift.manifest import SessionView
 
-READY_EACH = 4  # forms of the same reload kept for one session
+MAX_CACHED_RELOADS = 4  # forms of the same reload kept for one session
 MPD: Headers = (("content-type", "application/dash+xml"), ("cache-control", "no-store"))
 
 # status, title, seconds to come back after
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingRequest:
     """A request that is not answered yet."""
 
     exchange: Exchange
@@ -62,47 +62,47 @@
         address: Callable[[int], tuple[str, int]],
         set_up_id: Callable[[ev.Session], str],
         rate_kb: Callable[[ev.Session, int], float],
-        booked: Callable[[ev.Session, int], ev.Booked],
+        reservation: Callable[[ev.Session, int], ev.Reservation],
     ) -> None:
         self.hint: Callable[[ev.Session], str] = lambda session: ""  # who has it, for its Location
         self._config, self._address, self._set_up_id = config, address, set_up_id
-        self._rate_kb, self._booked = rate_kb, booked
+        self._rate_kb, self._reservation = rate_kb, reservation
         self.url = ""
-        self.held: dict[int, Held] = {}
-        self.reloads_ready = 0
-        self._ready: dict[bytes, tuple[ev.Session, object, bytes]] = {}
-        self._ready_of: dict[int, list[bytes]] = {}
+        self.pending: dict[int, PendingRequest] = {}
+        self.cached_reloads = 0
+        self._cached: dict[bytes, tuple[ev.Session, object, bytes]] = {}
+        self._cached_keys: dict[int, list[bytes]] = {}
         self._log = structlog.get_logger().bind(director=config.name)
 
-    def hold(
+    def add_pending(
         self, number: int, exchange: Exchange, wanted: ManifestRequest, expired: bool, passed: bool
     ) -> None:
         """Keep a request until it is answered or gone."""
-        self.held[number] = Held(exchange, wanted, expired, passed)
+        self.pending[number] = PendingRequest(exchange, wanted, expired, passed)
 
     def gone(self, number: int) -> bool:
         """The client has left; whether an answer was still owed."""
-        return self.held.pop(number, None) is not None
+        return self.pending.pop(number, None) is not None
 
-    def _take(self, request: int) -> Held | None:
-        held = self.held.pop(request, None)
-        if held is not None:
-            held.exchange.on_disconnect = None
-        return held
+    def _take(self, request: int) -> PendingRequest | None:
+        pending = self.pending.pop(request, None)
+        if pending is not None:
+            pending.exchange.on_disconnect = None
+        return pending
 
     # ---- Manifests ----------------------------------------------------------------------------------------
     def show(self, request: int, session: ev.Session) -> str:
         """Answer with the session's manifest, or send the player to its box; tells which."""
-        held = self._take(request)
-        if held is None:
+        pending = self._take(request)
+        if pending is None:
             return "gone"
-        if held.wanted.rest is not None:
-            self._send_there(held.exchange, session, held.wanted.rest)
+        if pending.wanted.rest is not None:
+            self._send_there(pending.exchange, session, pending.wanted.rest)
             return "sent back"
-        headers, body = self.manifest(session, held.wanted.url_token)
-        if not held.passed:
-            held.exchange.on_raw_request(lambda data: self._keep_ready(data, session, held.exchange))
-        held.exchange.reply(200, headers, body)
+        headers, body = self.manifest(session, pending.wanted.url_token)
+        if not pending.passed:
+            pending.exchange.on_raw_request(lambda data: self._cache_reload(data, session, pending.exchange))
+        pending.exchange.reply(200, headers, body)
         return "manifests"
 
     def _send_there(self, exchange: Exchange, session: ev.Session, rest: str) -> None:
@@ -130,7 +130,7 @@
             rate_kb=self._rate_kb(session, session.rung),
             top_kb=self._rate_kb(session, max(session.top, session.rung)),
         )
-        headers = MPD + cmsd(self._booked(session, session.rung).max_kbps)
+        headers = MPD + cmsd(self._reservation(session, session.rung).max_kbps)
         session.manifest = (key, headers, session.title.source.write(view))
         return headers, session.manifest[2]
 
@@ -147,43 +147,43 @@
             exchange.reply(200, *self.manifest(session, wanted.url_token))
 
     # ---- Reloads ------------------------------------------------------------------------------------------
-    def _keep_ready(self, data: bytes, session: ev.Session, exchange: Exchange) -> None:
+    def _cache_reload(self, data: bytes, session: ev.Session, exchange: Exchange) -> None:
         """A player's reloads are the same bytes each time: keep the answer by them while it plays."""
-        known = self._ready_of.setdefault(session.number, [])
-        if session.over or session.manifest is None or len(known) >= READY_EACH:
+        known = self._cached_keys.setdefault(session.number, [])
+        if session.closed or session.manifest is None or len(known) >= MAX_CACHED_RELOADS:
             return
         known.append(data)
         _, headers, body = session.manifest
         head = encode_head(200, headers + exchange.common_headers, len(body), close=False)
-        self._ready[data] = (session, session.manifest, head + body)
+        self._cached[data] = (session, session.manifest, head + body)
 
-    def ready(self, data: bytes) -> bytes | None:
+    def cached_response(self, data: bytes) -> bytes | None:
         """The whole answer to a request of these bytes, where it is known and still holds."""
-        found = self._ready.get(data)
+        found = self._cached.get(data)
         if found is None:
             return None
         session, shown, answer = found
         current = session.manifest
-        if session.over or current is None or current is not shown or current[0][0] != session.rung:
-            del self._ready[data]
-            self._ready_of[session.number].remove(data)
+        if session.closed or current is None or current is not shown or current[0][0] != session.rung:
+            del self._cached[data]
+            self._cached_keys[session.number].remove(data)
             return None
-        self.reloads_ready += 1
+        self.cached_reloads += 1
         return answer
 
     def session_over(self, session: ev.Session) -> None:
         """Nothing of the session is shown any more."""
-        for data in self._ready_of.pop(session.number, ()):
-            self._ready.pop(data, None)
+        for data in self._cached_keys.pop(session.number, ()):
+            self._cached.pop(data, None)
 
     # ---- The rest -----------------------------------------------------------------------------------------
     def refused(self, request: int, session: int, come_back_ms: float) -> None:
         """Answer 503, with the time to come back after where that is allowed."""
-        held = self._take(request)
-        if held is None:
+        pending = self._take(request)
+        if pending is None:
             return
         extra = _come_back(come_back_ms) if come_back_ms > 0 else ()
-        held.exchange.reply_problem(503, "refused: no room for this session now", extra=extra)
+        pending.exchange.reply_problem(503, "refused: no room for this session now", extra=extra)
         self._log.info("refused", session=session)
 
     def failed(self, request: int, session: int) -> None:
@@ -194,25 +194,25 @@
         """Answer without a session."""
         status, title, seconds = _DOWN[why]
         if come_back_ms > 0:
-            held = self._take(request)
-            if held is not None:
-                held.exchange.reply_problem(status, title, extra=_come_back(come_back_ms))
+            pending = self._take(request)
+            if pending is not None:
+                pending.exchange.reply_problem(status, title, extra=_come_back(come_back_ms))
             return
         self._tell(request, status, title, seconds)
 
     def relay(self, request: int, status: int, headers: Headers, body: bytes) -> None:
         """Give a viewer the answer of the director that has its session."""
-        held = self._take(request)
-        if held is not None:
-            held.exchange.reply(status, headers, body)
+        pending = self._take(request)
+        if pending is not None:
+            pending.exchange.reply(status, headers, body)
             self._log.info("passed on", status=status)
 
     def _tell(
         self, request: int, status: int, title: str, seconds: int | None = None, session: int | None = None
     ) -> None:
-        held = self._take(request)
-        if held is None:
+        pending = self._take(request)
+        if pending is None:
             return
         extra: Headers = () if seconds is None else (("retry-after", str(seconds)),)
-        held.exchange.reply_problem(status, title, extra=extra)
+        pending.exchange.reply_problem(status, title, extra=extra)
         self._log.info("answered", status=status, reason=title, session=session)
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -24,13 +24,13 @@
 from foxlift.config import DirectorConfig
 from foxlift.decide.claims import Why
 from foxlift.director import events
-from foxlift.director.answers import Answers, Held
+from foxlift.director.answers import Answers, PendingRequest
 from foxlift.director.cluster.messages import JSON_HEADERS, WAITED_HEADER
 from foxlift.director.cluster.ports import ForwardableRequest
 from foxlift.director.cluster.service import ClusterService
 from foxlift.director.core import Core
 from foxlift.director.notice_streams import NoticeStreams
-from foxlift.director.server_pools import ServerPools, Use
+from foxlift.director.server_pools import PoolUse, ServerPools
 from foxlift.director.timeline import Timeline
 from foxlift.http import Exchange, Failure, Headers, Response
 from foxlift.ledger import Ended, Journal
@@ -166,7 +166,7 @@
 
     def forwardable(self, request: int) -> ForwardableRequest | None:
         """See `Host`."""
-        held = self.daemon.answers.held.get(request)
+        held = self.daemon.answers.pending.get(request)
         if held is None:
             return None
         received = held.exchange.request
@@ -178,7 +178,7 @@
 
     def waited_ms(self, number: int) -> float:
         """Since the request's first byte here, and before it was passed on."""
-        held = self.daemon.answers.held.get(number)
+        held = self.daemon.answers.pending.get(number)
         if held is None:
             return 0.0
         request = held.exchange.request
@@ -188,7 +188,7 @@
 
     def asked(self, number: int, passed: bool) -> bool:
         """Whether the request's own hint has it looked for elsewhere first."""
-        held = self.daemon.answers.held[number]
+        held = self.daemon.answers.pending[number]
         hinted = self.service.forwarder.read_hint(held.wanted.hint) if held.wanted.hint else None
         if hinted is None or not self.daemon.core.claims.is_new(held.wanted.token.id):
             return False
@@ -203,9 +203,9 @@
         if held is not None:
             self.service.forwarder.resolve(number, claim, forwarded=held.passed)
 
-    def _routed(self, number: int) -> Held | None:
+    def _routed(self, number: int) -> PendingRequest | None:
         """A request that is to be looked for elsewhere once more; not for ever."""
-        held = self.daemon.answers.held.get(number)
+        held = self.daemon.answers.pending.get(number)
         if held is None:
             return None
         held.routed += 1
@@ -219,19 +219,24 @@
         return self.service.forwarder.come_back_ms()
 
     def carry_out(
-        self, action: events.PassOn | events.AskAbout | events.FetchTaken | events.SetUpLost | events.Listed
+        self,
+        action: events.ForwardRequest
+        | events.FindSession
+        | events.FetchTakenOver
+        | events.DropOwnership
+        | events.UpdateListedBoxes,
     ) -> None:
         """What the core wants done between directors."""
         match action:
-            case events.PassOn(request, claim):
+            case events.ForwardRequest(request, claim):
                 self.route(request, claim)
-            case events.AskAbout(request, token):
+            case events.FindSession(request, token):
                 self.ask_about(request, token)
-            case events.FetchTaken(node):
+            case events.FetchTakenOver(node):
                 self.service.fetch(self.box(node))
-            case events.SetUpLost(set_up):
+            case events.DropOwnership(set_up):
                 self.service.token_claims.lose(set_up)
-            case events.Listed(boxes):
+            case events.UpdateListedBoxes(boxes):
                 self.service.boxes_listed(boxes)
 
     def ask_about(self, number: int, token: str) -> None:
@@ -287,7 +292,7 @@
         if owner == self.daemon.config.name:
             return False  # of an earlier run of this very director: being taken over
         if set_up:
-            self.daemon.feed(events.NotOwner(set_up))
+            self.daemon.feed(events.OwnershipRefused(set_up))
         return True
 
     def may_stream(self, node: int) -> bool:
@@ -306,7 +311,7 @@
             self.boot_heard(node, notice.boot)
 
     # ---- Boxes --------------------------------------------------------------------------------------------
-    def boot_of(self, keep: events.KeepIntent) -> str:
+    def boot_of(self, keep: events.PersistIntent) -> str:
         """See `Host`; it is written into the set-up's claim and sent with it."""
         boot = self._boots.get(keep.node, UNKNOWN_BOOT)
         session = self.daemon.core.sessions.get(keep.session)
@@ -343,7 +348,7 @@
         if node is None:
             return False
         self.daemon.counters.add("takes sent")
-        self.daemon.pools.pool(node, Use.TAKEOVERS).call(
+        self.daemon.pools.pool(node, PoolUse.TAKEOVERS).call(
             "POST",
             "/takeovers",
             done,
@@ -361,14 +366,14 @@
         self.boot_heard(node, answer.boot)
         for gone in answer.lost:
             notice = OwnershipLost((gone.set_up,), gone.new_owner, gone.at) if gone.new_owner else None
-            daemon.feed(events.Notice(node, notice or SessionEnded(gone.set_up, "done", gone.at)))
+            daemon.feed(events.NoticeReceived(node, notice or SessionEnded(gone.set_up, "done", gone.at)))
             left = daemon.journal.book.account.open.get(gone.set_up)
             if left is not None and left.began <= gone.at:
                 daemon.journal.handle(int(daemon.timeline.now()), Ended(gone.at, gone.set_up))
         adoptees = tuple(filter(None, (self._adoptee(box, held) for held in answer.sessions)))
         new = [one for one in adoptees if not daemon.core.attempts.knows(one.set_up)]
         if adoptees:
-            daemon.feed(events.Adopted(node, answer.boot, answer.counter, adoptees))
+            daemon.feed(events.SessionsTakenOver(node, answer.boot, answer.counter, adoptees))
         for one in new:
             daemon.counters.add("adopted")
             if daemon.core.is_paid(one.token.klass):
@@ -377,7 +382,7 @@
                 )
         daemon.streams.reopen(node)
 
-    def _adoptee(self, box: str, held: HeldSession) -> events.Adoptee | None:
+    def _adoptee(self, box: str, held: HeldSession) -> events.TakenOverSession | None:
         daemon, note = self.daemon, read_note(held.note)
         title = daemon.catalogue.titles.get(held.title)
         if note is None or title is None or not daemon.core.knows_class(held.klass):
@@ -396,15 +401,15 @@
             length_s=note.length_s,
         )
         until = daemon.timeline.unix_s() + held.parked_ms / 1000 if held.parked_ms else 0.0
-        return events.Adoptee(token, title, held.set_up, held.rung, held.path_token, held.at, until)
+        return events.TakenOverSession(token, title, held.set_up, held.rung, held.path_token, held.at, until)
 
     def zone_observations(self) -> dict[str, Sight]:
         """See `Host`."""
-        return self.daemon.core.sights(self.daemon.timeline.now())
+        return self.daemon.core.zone_evidence(self.daemon.timeline.now())
 
     def epoch_renewed(self) -> None:
         """See `Host`."""
-        self.daemon.feed(events.Renewed(format(self.service.boot_epoch, "x")))
+        self.daemon.feed(events.BootEpochRenewed(format(self.service.boot_epoch, "x")))
 
     def superseded(self) -> None:
         """See `Host`."""
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -52,7 +52,7 @@
     def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Take in what a box has handed over."""
 
-    def boot_of(self, keep: events.KeepIntent) -> str:
+    def boot_of(self, keep: events.PersistIntent) -> str:
         """The box process that a paid set-up is for."""
 
     def epoch_renewed(self) -> None:
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -79,7 +79,7 @@
             self._replaceable[token] = claim
 
     # ---- Set-ups ------------------------------------------------------------------------------------------
-    def claim(self, keep: events.KeepIntent, then: Callable[[], None]) -> None:
+    def claim(self, keep: events.PersistIntent, then: Callable[[], None]) -> None:
         """Claim the token of a paid set-up; `then` once it is held. Else the core is told whose it is."""
         token, context = keep.token, self._context
         boot = self._host.boot_of(keep)
@@ -91,7 +91,7 @@
 
         def not_held(owner: Claim | None, quorum: bool) -> None:
             context.counters.add("claimed elsewhere" if quorum else "claims unreached")
-            self._host.feed(events.ClaimedElsewhere(keep.session, keep.attempt, owner, quorum))
+            self._host.feed(events.TokenClaimFailed(keep.session, keep.attempt, owner, quorum))
 
         context.counters.add("claims")
         self._check_life_time(token.expires)
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -190,7 +190,7 @@
         states = {zone: part.state.value for zone, part in plan.zones.items() if part.state is not State.NEAR}
         self._context.log.info("plan", number=plan.number, zones=states)
         shares = shares_of(plan, self._config.zone, self._config.fleet.zones)
-        self._network.feed(events.PlanInForce(shares))
+        self._network.feed(events.ZonePlanChanged(shares))
 
 
 def shares_of(plan: Plan, home: str, zones: tuple[str, ...]) -> tuple[float, ...]:
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -31,7 +31,7 @@
     FailureKind.CANCELLED: attempts.Loss.CANCELLED,
 }
 
-Command = events.PutSetUp | events.ChangeRung | attempts.AbortPut | attempts.Release
+Command = events.SendSetUp | events.ChangeRung | attempts.AbortPut | attempts.Release
 AttemptKey = tuple[int, int]  # session, attempt
 
 
@@ -54,9 +54,9 @@
     def send(self, command: Command) -> None:
         """Carry out what the core says."""
         match command:
-            case events.PutSetUp() if command.session.place is None:
+            case events.SendSetUp() if command.session.parked_at is None:
                 self._set_up(command)
-            case events.PutSetUp():
+            case events.SendSetUp():
                 self._resume(command)
             case events.ChangeRung():
                 self._change_rung(command)
@@ -65,7 +65,7 @@
             case attempts.Release():
                 self._release(command)
 
-    def _set_up(self, put: events.PutSetUp) -> None:
+    def _set_up(self, put: events.SendSetUp) -> None:
         key = (put.session.number, put.attempt)
 
         def answered(result: Response | Failure) -> None:
@@ -83,7 +83,7 @@
             timeout_ms=put.timeout_ms,
         )
 
-    def _order(self, put: events.PutSetUp) -> SetUpRequest:
+    def _order(self, put: events.SendSetUp) -> SetUpRequest:
         session, token = put.session, put.session.token
         return SetUpRequest(
             director=self._config.name,
@@ -93,24 +93,24 @@
             claim=token.id,
             paid=session.paid,
             rung=put.rung,
-            rate_kb=put.booked.rate_kb,
+            rate_kb=put.reservation.rate_kb,
             path_token=session.path_token,
             within_ms=put.timeout_ms,
-            max_kbps=put.booked.max_kbps,
+            max_kbps=put.reservation.max_kbps,
             boot_epoch=self._ownership.boot_epoch,
             grace_ms=self._ownership.grace_ms,
             note=self._ownership.note(session),
             boot=session.boot if session.paid else "",
         )
 
-    def _resume(self, put: events.PutSetUp) -> None:
+    def _resume(self, put: events.SendSetUp) -> None:
         key = (put.session.number, put.attempt)
 
         def answered(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             lost = self._ownership.is_refused(result, put.set_up)
             if isinstance(result, Response) and (lost or result.status in (404, 410)):
-                self._feed(events.PlaceGone(put.session.number))
+                self._feed(events.ParkedSessionMissing(put.session.number))
                 # nothing runs: the server says so
                 self._feed(attempts.Answered(*key, False, fl.Outcome.FULL))
                 return
@@ -128,18 +128,18 @@
 
     def _put_rung(
         self,
-        command: events.PutSetUp | events.ChangeRung,
+        command: events.SendSetUp | events.ChangeRung,
         resource: str,
         timeout_ms: float,
         answered: Callable[[Response | Failure], None],
     ) -> Call:
-        booked = command.booked
+        reservation = command.reservation
         return self._pools.pool(command.node).call(
             "PUT",
             f"/sessions/{command.set_up}/{resource}",
             answered,
             headers=(*JSON_HEADERS, *self._ownership.headers()),
-            body=msgspec.json.encode(RungRequest(command.rung, booked.rate_kb, booked.max_kbps)),
+            body=msgspec.json.encode(RungRequest(command.rung, reservation.rate_kb, reservation.max_kbps)),
             timeout_ms=timeout_ms,
         )
 
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -69,17 +69,17 @@
         self,
         config: DirectorConfig,
         cached: BoxList | None,
-        run: str,
+        boot_epoch: str,
         secret: Callable[[], str],
         trace: Trace | None = None,
         make: Callable[[fl.Settings, int], Director] = Director,
     ) -> None:
-        self.config, self.run = config, run
+        self.config, self.boot_epoch = config, boot_epoch
         self.settings = module_settings(config)
         self.module = make(self.settings, config.seed)
         self._driver = Driver(self.module, self._carry_out, self._fault, trace)
         self.claims = cl.Claims(config.peers.on)
-        self.attempts = at.Attempts(f"{config.name}.{run}")
+        self.attempts = at.Attempts(f"{config.name}.{boot_epoch}")
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
         self._mets: dict[int, tuple[Met, float]] = {}  # how boxes were met last, and when
@@ -93,7 +93,9 @@
         self._tenants = {tenant.name: k for k, tenant in enumerate(self.settings.tenants)}
         self._zones = {name: k for k, name in enumerate(config.fleet.zones)}
         self._kinds = {name: k for k, name in enumerate(config.fleet.kinds)}
-        self._asked: dict[int, ev.ManifestAsked] = {}  # by request, only within the call that opens a session
+        self._asked: dict[
+            int, ev.ManifestRequested
+        ] = {}  # by request, only within the call that opens a session
         self._now = 0.0
         self._out: list[ev.Action] = []
 
@@ -113,37 +115,37 @@
         """Take one event in. `now` is Unix time in ms as the module's clock keeps it: it never steps back."""
         self._now, self._out = now, []
         match event:
-            case ev.ManifestAsked():
+            case ev.ManifestRequested():
                 self._manifest_asked(event)
-            case ev.ClientGone(request):
+            case ev.ClientDisconnected(request):
                 self._claim(cl.HungUp(request))
-            case ev.Notice(node, notice):
+            case ev.NoticeReceived(node, notice):
                 self._notice(node, notice)
-            case ev.PlaceGone(number):
+            case ev.ParkedSessionMissing(number):
                 self._place_gone(number)
-            case ev.StreamBroken(node):
+            case ev.NoticeStreamClosed(node):
                 self._link(node, ln.Broken())
-            case ev.LinkTimer(node, timer):
+            case ev.LinkTimerDue(node, timer):
                 self._link(node, timer)
-            case ev.TimerDue(token):
+            case ev.ModuleTimerDue(token):
                 self._tell(fl.Wake(token))
-            case ev.Remembered(known):
+            case ev.IntentRecovered(known):
                 played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
                 self._claim(cl.Recalled(known.token, known.expires, played))
                 # a death may have come between the box's answer and the ledger's record of it
                 ends = int(known.expires * 1000)
                 ran = lg.Ran(int(now), known.set_up, known.token, known.tenant, known.klass, not played, ends)
-                self._out.append(ev.Account(ran))
-            case ev.ClaimedElsewhere():
+                self._out.append(ev.WriteLedgerEntry(ran))
+            case ev.TokenClaimFailed():
                 self._claimed_elsewhere(event)
-            case ev.Adopted():
+            case ev.SessionsTakenOver():
                 self._adopted(event)
-            case ev.Renewed(run):
-                self.run = run
-                self._attempt(at.Renewed(f"{self.config.name}.{run}"))
-            case ev.NotOwner(set_up):
+            case ev.BootEpochRenewed(boot_epoch):
+                self.boot_epoch = boot_epoch
+                self._attempt(at.Renewed(f"{self.config.name}.{boot_epoch}"))
+            case ev.OwnershipRefused(set_up):
                 self._taken(set_up, 0)
-            case ev.PlanInForce(shares):
+            case ev.ZonePlanChanged(shares):
                 self._tell(fl.ZoneShares(shares))
             case PollDue() | ListAnswer() | ListFailed():
                 self._list(event)
@@ -171,7 +173,7 @@
         elif event.loss in LOSSES:
             self._mets[session.node] = LOSSES[event.loss], self._now
 
-    def sights(self, now: float) -> dict[str, Sight]:
+    def zone_evidence(self, now: float) -> dict[str, Sight]:
         """What this director sees of each zone that it has lately met a box of."""
         fleet, found = self.config.fleet, dict[str, Sight]()
         self._mets = {n: met for n, met in self._mets.items() if now - met[1] < SEEN_MS and n in self.boxes}
@@ -214,10 +216,10 @@
     @property
     def waiting(self) -> int:
         """Sessions that are asked for and not answered."""
-        return sum(1 for session in self.sessions.values() if not session.started)
+        return sum(1 for session in self.sessions.values() if not session.started_ms)
 
     # ---- Requests -----------------------------------------------------------------------------------------
-    def _manifest_asked(self, asked: ev.ManifestAsked) -> None:
+    def _manifest_asked(self, asked: ev.ManifestRequested) -> None:
         token = asked.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         self._asked[asked.request] = asked
@@ -230,19 +232,19 @@
                 case cl.Open(session, request, place):
                     self._open(session, self._asked[request], place)
                 case cl.Show(request, session):
-                    self._out.append(ev.ShowManifest(request, self.sessions[session]))
+                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
                 case cl.TellFailed(request, session):
                     self._out.append(ev.AnswerFailed(request, session))
                 case cl.TurnDown(request, why):
-                    self._out.append(ev.AnswerDown(request, why))
+                    self._out.append(ev.AnswerRejected(request, why))
                 case cl.Withdraw(session):
                     self._withdraw(session)
                 case cl.AskAbout(request):
-                    self._out.append(ev.AskAbout(request, self._token_of(request)))
+                    self._out.append(ev.FindSession(request, self._token_of(request)))
                 case cl.TellRefused() | cl.PassOn() | cl.Adopted() | cl.Superfluous():
                     raise AssertionError("told by whoever asked for it")
 
-    def _open(self, number: int, asked: ev.ManifestAsked, place: cl.Place | None) -> None:
+    def _open(self, number: int, asked: ev.ManifestRequested, place: cl.Place | None) -> None:
         token, title = asked.token, asked.title
         klass = self._classes[token.klass]
         terms = self.settings.classes[klass]
@@ -254,7 +256,7 @@
             klass,
             terms.repeat is not fl.Repeat.FREE,
             self._secret() if place is None else place.path_token,
-            place=place,
+            parked_at=place,
             top=max(best, terms.floor),
             rung=terms.floor,
         )
@@ -310,20 +312,22 @@
         return "" if asked is None else asked.token.id
 
     # ---- Between directors --------------------------------------------------------------------------------
-    def _claimed_elsewhere(self, event: ev.ClaimedElsewhere) -> None:
+    def _claimed_elsewhere(self, event: ev.TokenClaimFailed) -> None:
         """A paid session's token is another's: its requests go there, and the module forgets it."""
         session = self.sessions.get(event.session)
         if session is None or not self.attempts.holds(event.session) or session.attempt != event.attempt:
             return
-        session.unclaimed = session.withdrawn = True
+        session.claim_lost = session.withdrawn = True
         for action in self.claims.handle(self._now / 1000, cl.Elsewhere(event.session)):
             if isinstance(action, cl.PassOn):
-                passed = ev.PassOn(action.request, event.claim)
-                self._out.append(passed if event.reached else ev.AnswerDown(action.request, cl.Why.UNREACHED))
+                passed = ev.ForwardRequest(action.request, event.claim)
+                self._out.append(
+                    passed if event.quorum_reached else ev.AnswerRejected(action.request, cl.Why.UNREACHED)
+                )
         self._tell(fl.Withdrawn(event.session))
         self._attempt(at.IntentFailed(event.session, event.attempt))
 
-    def _adopted(self, event: ev.Adopted) -> None:
+    def _adopted(self, event: ev.SessionsTakenOver) -> None:
         for one in event.sessions:
             if self.attempts.knows(one.set_up):
                 self._confirm(event.node, one)
@@ -331,20 +335,20 @@
                 self._adopt(event, one)
         self._link_perhaps_unwanted(event.node)
 
-    def _confirm(self, node: int, one: ev.Adoptee) -> None:
+    def _confirm(self, node: int, one: ev.TakenOverSession) -> None:
         """A session of this director under its new run: what was ordered meanwhile was refused."""
         own = self.attempts.own(one.set_up)
         session = self.sessions.get(own[0]) if own is not None else None
-        if session is not None and not one.until and session.rung != one.rung:
-            booked = self.booked(session, session.rung)
-            self._out.append(ev.ChangeRung(one.set_up, node, session.rung, booked))
+        if session is not None and not one.parked_until_s and session.rung != one.rung:
+            reservation = self.reservation(session, session.rung)
+            self._out.append(ev.ChangeRung(one.set_up, node, session.rung, reservation))
 
-    def _adopt(self, event: ev.Adopted, one: ev.Adoptee) -> None:
+    def _adopt(self, event: ev.SessionsTakenOver, one: ev.TakenOverSession) -> None:
         """Go on with a session where its last owner left it; its box says since when."""
         token = one.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         place = cl.Place(event.node, one.set_up, one.path_token)
-        adopt = cl.Adopt(token.id, paid, token.expires, place, one.until)
+        adopt = cl.Adopt(token.id, paid, token.expires, place, one.parked_until_s)
         for action in self.claims.handle(self._now / 1000, adopt):
             match action:
                 case cl.Withdraw(session):
@@ -354,21 +358,21 @@
                 case cl.Adopted(number):
                     self._resume(number, event, one, paid)
                 case cl.Show(request, session):
-                    self._out.append(ev.ShowManifest(request, self.sessions[session]))
+                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
                 case cl.AskAbout(request):
-                    self._out.append(ev.AskAbout(request, token.id))
+                    self._out.append(ev.FindSession(request, token.id))
 
-    def _resume(self, number: int, event: ev.Adopted, one: ev.Adoptee, paid: bool) -> None:
+    def _resume(self, number: int, event: ev.SessionsTakenOver, one: ev.TakenOverSession, paid: bool) -> None:
         token, klass = one.token, self._classes[one.token.klass]
         terms = self.settings.classes[klass]
         best = terms.top if token.best_rung is None else min(token.best_rung, terms.top)
         made = ev.Session(number, token, one.title, klass, paid, one.path_token, top=max(best, terms.floor))
-        made.rung, made.node, made.attempts, made.started = one.rung, event.node, 1, self._now
-        made.since = one.at
+        made.rung, made.node, made.attempts, made.started_ms = one.rung, event.node, 1, self._now
+        made.owned_since_ms = one.owned_since_ms
         self.sessions[number] = made
         self._link_wanted(event.node)
         self._attempt(at.Resumes(number, event.node, one.rung, one.set_up, event.boot, event.counter))
-        self._out.append(ev.Account(self._opened(made, one.at, one.set_up)))
+        self._out.append(ev.WriteLedgerEntry(self._opened(made, one.owned_since_ms, one.set_up)))
         self._tell(fl.Resumed(self._ask(made, one.title.first_cell, one.title.holders, 0.0), event.node))
         self._tell(fl.Note(number, event.node, fl.NoteKind.RUNG, float(one.rung)))
 
@@ -376,19 +380,19 @@
         """Another director owns the session now: its end here, by the box's clock, is its beginning there."""
         found = self.attempts.own(set_up)
         if found is None or not self.attempts.knows(set_up):
-            self._out.append(ev.SetUpLost(set_up))
+            self._out.append(ev.DropOwnership(set_up))
             self._claim(cl.Lost(set_up))
             return
         session = self.sessions.get(found[0])
-        if session is not None and 0 < when < session.since:
+        if session is not None and 0 < when < session.owned_since_ms:
             return  # of an earlier time that it was this director's
-        self._out.append(ev.SetUpLost(set_up))
+        self._out.append(ev.DropOwnership(set_up))
         self._claim(cl.Elsewhere(found[0]))
         self._attempt(at.EndedAtBox(*found, fl.Outcome.CANCELLED, when))
 
     # ---- The module ---------------------------------------------------------------------------------------
     def _fault(self, words: str) -> None:
-        self._out.append(ev.Say("exception", detail=words))
+        self._out.append(ev.WriteLog("exception", detail=words))
 
     def _tell(self, event: fl.Event) -> None:
         self._driver.tell(self._now, event)
@@ -409,22 +413,22 @@
                 self._claim(cl.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
-                self._out.append(ev.StartTimer(delay_ms, ev.TimerDue(token)))
+                self._out.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
                 self._attempt(at.CallOff(number))
             case fl.Log(text):
-                self._out.append(ev.Say("module", detail=text))
+                self._out.append(ev.WriteLog("module", detail=text))
             case fl.WatchList() | fl.FetchList():
                 pass  # the long poll is always under way
             case fl.Probe():
-                self._out.append(ev.Say("probe not offered"))
+                self._out.append(ev.WriteLog("probe not offered"))
 
     def _set_up(self, action: fl.SetUp) -> None:
         session = self.sessions[action.session]
         session.node, session.attempt = action.node, session.attempts
         session.attempts += 1
         until = self._now + action.within_ms
-        place = session.place
+        place = session.parked_at
         if place is not None and place.node != action.node:
             # another box stands in that cell now: it does not have the set-up, and must not make a second one
             never = fl.Outcome.NEVER_SENT
@@ -438,7 +442,7 @@
 
     def _turned_away(self, number: int, what: str) -> None:
         token = self.sessions[number].token
-        self._out.append(ev.Account(lg.TurnedAway(token.tenant, token.klass, what)))
+        self._out.append(ev.WriteLedgerEntry(lg.TurnedAway(token.tenant, token.klass, what)))
 
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._turned_away(number, "refused")
@@ -455,8 +459,8 @@
 
     def _over(self, session: ev.Session, ran: bool) -> None:
         self.sessions.pop(session.number, None)
-        session.over = True
-        self._out.append(ev.SessionOver(session))
+        session.closed = True
+        self._out.append(ev.SessionClosed(session))
         self._claim(cl.Over(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
@@ -464,11 +468,11 @@
         """The rate of a rung for a session's class, kB/s."""
         return self.settings.ladder_kb[rung] * self.settings.classes[session.klass].rate_scale
 
-    def booked(self, session: ev.Session, rung: int) -> ev.Booked:
+    def reservation(self, session: ev.Session, rung: int) -> ev.Reservation:
         """What the rung takes and what the player may choose: one thing, whatever the source offers."""
         rate, renditions = self.rate_kb(session, rung), session.title.source.renditions
         floor = self.rate_kb(session, self.settings.classes[session.klass].floor)
-        return ev.Booked(renditions.booked_kb(rate, floor), ceil(renditions.fit(rate, floor).cap_kbps))
+        return ev.Reservation(renditions.booked_kb(rate, floor), ceil(renditions.fit(rate, floor).cap_kbps))
 
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
@@ -477,13 +481,13 @@
                     session = self.sessions[number]
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
-                    self._out.append(ev.KeepIntent(number, attempt, session.token, box, set_up, node))
+                    self._out.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
                 case at.Put():
                     self._put(action)
                 case at.PutRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
-                    booked = self.booked(self.sessions[number], rung)
-                    self._out.append(ev.ChangeRung(set_up, node, rung, booked))
+                    reservation = self.reservation(self.sessions[number], rung)
+                    self._out.append(ev.ChangeRung(set_up, node, rung, reservation))
                 case at.TellStarted():
                     self._started(action)
                 case at.TellEnded():
@@ -494,24 +498,24 @@
     def _put(self, put: at.Put) -> None:
         session = self.sessions[put.session]
         self._out.append(
-            ev.PutSetUp(
+            ev.SendSetUp(
                 session=session,
                 attempt=put.attempt,
                 set_up=self.attempts.set_up_id(put.session, put.attempt),
                 node=put.node,
                 rung=put.rung,
-                booked=self.booked(session, put.rung),
+                reservation=self.reservation(session, put.rung),
                 timeout_ms=max(put.until - self._now, 1.0),
             )
         )
 
     def _started(self, told: at.TellStarted) -> None:
         session = self.sessions[told.session]
-        session.started, session.since = self._now, told.when
-        if session.paid and session.place is None:
-            self._out.append(ev.SettleIntent(session.token.id, IntentOutcome.STARTED))
+        session.started_ms, session.owned_since_ms = self._now, told.when
+        if session.paid and session.parked_at is None:
+            self._out.append(ev.RecordIntentOutcome(session.token.id, IntentOutcome.STARTED))
         set_up = self.attempts.set_up_id(told.session, told.attempt)
-        self._out.append(ev.Account(self._opened(session, told.when or int(self._now), set_up)))
+        self._out.append(ev.WriteLedgerEntry(self._opened(session, told.when or int(self._now), set_up)))
         self._tell(fl.Started(told.session, told.node, told.attempt, 0.0))
         if told.load is not None:
             for kind, value in (
@@ -542,8 +546,8 @@
         session = self.sessions[told.session]
         ran = told.playing or not told.outcome.proves_unrun
         set_up = told.set_up
-        kept = session.place is None or told.playing
-        if session.paid and not told.parked and kept and not session.unclaimed:
+        kept = session.parked_at is None or told.playing
+        if session.paid and not told.parked and kept and not session.claim_lost:
             outcome = (
                 IntentOutcome.ENDED
                 if told.playing
@@ -551,24 +555,24 @@
                 if ran
                 else IntentOutcome.NEVER_RAN
             )
-            self._out.append(ev.SettleIntent(session.token.id, outcome))
+            self._out.append(ev.RecordIntentOutcome(session.token.id, outcome))
         if told.playing:
             ended = lg.Ended(told.when or int(self._now), set_up, estimated=not told.when)
-            self._out.append(ev.Account(ended))
-        elif session.paid and ran and session.place is None:
+            self._out.append(ev.WriteLedgerEntry(ended))
+        elif session.paid and ran and session.parked_at is None:
             # the box may have done it and been paid for it: charged once, and marked as estimated
             token = session.token
             ends = self._ends_ms(token)
             unseen = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, ends)
-            self._out.append(ev.Account(unseen))
+            self._out.append(ev.WriteLedgerEntry(unseen))
         final = told.playing or session.withdrawn
         if told.playing or told.outcome is not fl.Outcome.OK:
             detail = f"{told.outcome.value}{', was playing' if told.playing else ''}"
-            self._out.append(ev.Say("attempt ended", told.session, self._box_name(told.node), detail))
+            self._out.append(ev.WriteLog("attempt ended", told.session, self._box_name(told.node), detail))
         if final and told.parked:
             self.sessions.pop(session.number, None)
-            session.over = True
-            self._out.append(ev.SessionOver(session))
+            session.closed = True
+            self._out.append(ev.SessionClosed(session))
             until = self._now / 1000 + self.config.boxes.park_s
             self._claim(cl.Parked(session.number, until, cl.Place(told.node, set_up, session.path_token)))
         elif final:
@@ -605,18 +609,18 @@
         for action in link.handle(event):
             match action:
                 case ln.OpenStream():
-                    self._out.append(ev.OpenNotices(node))
+                    self._out.append(ev.OpenNoticeStream(node))
                 case ln.CloseStream():
-                    self._out.append(ev.CloseNotices(node))
+                    self._out.append(ev.CloseNoticeStream(node))
                 case ln.Retry(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.RetryDue(turn))))
+                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.RetryDue(turn))))
                 case ln.Await(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.LossDue(turn))))
+                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossDue(turn))))
                 case ln.AllLost() if self._plays_on(node):
                     pass
                 case ln.AllLost():
                     if self.attempts.at(node):
-                        self._out.append(ev.Say("box silent", node=self._box_name(node)))
+                        self._out.append(ev.WriteLog("box silent", node=self._box_name(node)))
                     self._attempt(at.BoxLost(node))
                 case ln.Compare():
                     pass  # hello itself carries what is compared: see _notice
@@ -641,7 +645,7 @@
                     foreign = {s for s in kept if not self.attempts.knows(s) and self.attempts.own(s) is None}
                     kept -= foreign
                     if foreign:
-                        self._out.append(ev.FetchTaken(node))
+                        self._out.append(ev.FetchTakenOver(node))
                 self._attempt(at.BoxLost(node, boot, kept, counter))
             case OwnershipLost(sessions, _, when):
                 for set_up in sessions:
@@ -655,7 +659,7 @@
                 if uplink is not None:
                     self._note(node, set_up, fl.NoteKind.UPLINK, uplink)
             case RungInForce(set_up, rung, when):
-                self._out.append(ev.Account(lg.Rerung(when or int(self._now), set_up, rung)))
+                self._out.append(ev.WriteLedgerEntry(lg.Rerung(when or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
             case SessionEnded(set_up, how, when):
                 found = self.attempts.own(set_up)
@@ -675,7 +679,7 @@
                 case TellList():
                     self._listed(action)
                 case CacheList(boxes):
-                    self._out.append(ev.SaveList(boxes))
+                    self._out.append(ev.SaveBoxList(boxes))
                 case PollLater(delay_ms):
                     self._out.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
@@ -683,7 +687,7 @@
 
     def _listed(self, told: TellList) -> None:
         if told.kind is fl.ListKind.FAILED:
-            self._out.append(ev.Say("box list not heard"))
+            self._out.append(ev.WriteLog("box list not heard"))
             self._tell(fl.NodeList(fl.ListKind.FAILED))
             return
         infos = [info for info in map(self._info, told.boxes) if info is not None]
@@ -709,11 +713,13 @@
             self._attempt(at.Drains(node, gone))
             self._link_perhaps_unwanted(node)
         if self.config.peers.on:
-            self._out.append(ev.Listed(frozenset(box.name for box in self.boxes.values())))
+            self._out.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
 
     def _info(self, box: BoxEntry) -> fl.NodeInfo | None:
         if box.zone not in self._zones or box.kind not in self._kinds or box.cell >= self.settings.cells:
-            self._out.append(ev.Say("box not usable", node=box.name, detail="unknown zone, kind or cell"))
+            self._out.append(
+                ev.WriteLog("box not usable", node=box.name, detail="unknown zone, kind or cell")
+            )
             return None
         return fl.NodeInfo(
             node=box.number,
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -47,16 +47,16 @@
     from foxlift.director.configuration import ConfigurationFeed
 
 AnswerAction = (
-    events.ShowManifest
+    events.AnswerManifest
     | events.AnswerRefused
     | events.AnswerFailed
-    | events.AnswerDown
-    | events.SessionOver
-    | events.PassOn
-    | events.AskAbout
-    | events.FetchTaken
-    | events.SetUpLost
-    | events.Listed
+    | events.AnswerRejected
+    | events.SessionClosed
+    | events.ForwardRequest
+    | events.FindSession
+    | events.FetchTakenOver
+    | events.DropOwnership
+    | events.UpdateListedBoxes
 )
 
 MAX_FLUSH_S = 2.0  # how long a stop waits for the disk
@@ -149,7 +149,9 @@
         ownership: Ownership = SoleOwner() if self.cluster is None else self.cluster
         self.pools = ServerPools(config, loop, lambda: self.core.boxes)
         self.commands = ServerCommands(config, self.timeline, self.counters, self.pools, ownership, feed)
-        self.streams = NoticeStreams(config.name, loop, self.pools, ownership, lambda: self.core.run, feed)
+        self.streams = NoticeStreams(
+            config.name, loop, self.pools, ownership, lambda: self.core.boot_epoch, feed
+        )
         self._intents = IntentWriter(config, self.timeline, self.counters, self.intent_log, feed)
 
     def _make_front(self) -> None:
@@ -158,7 +160,7 @@
         self.authorizer = RequestAuthorizer(
             self.verifier, self.catalogue, core.knows_class, core.knows_tenant
         )
-        self.answers = Answers(config, self.pools.address, core.set_up_of, core.rate_kb, core.booked)
+        self.answers = Answers(config, self.pools.address, core.set_up_of, core.rate_kb, core.reservation)
         if self.cluster is not None:
             self.answers.hint = self.cluster.hint
         limits = Limits(
@@ -172,13 +174,13 @@
         # a token in a query is part of the page's or manifest's URL: nobody else is told it
         always = (("referrer-policy", "no-referrer"),)
         self.server = Server(self.loop, self.asked, limits, Cors(front.origins, front.preflight_s), always)
-        self.server.cached_response = self.answers.ready
+        self.server.cached_response = self.answers.cached_response
 
     # ---- Life ---------------------------------------------------------------------------------------------
     async def start(self) -> int:
         """Listen, recall paid set-ups, ask for the box list; gives back the port."""
         for known in self.intent_log.recovered.values():
-            self.feed(events.Remembered(known))
+            self.feed(events.IntentRecovered(known))
         if self.cluster is not None:
             self.cluster.start_ledger()
             await self.cluster.service.start()
@@ -293,7 +295,7 @@
             return
         self._last_request += 1
         number = self._last_request
-        self.answers.hold(number, exchange, wanted, expired, passed)
+        self.answers.add_pending(number, exchange, wanted, expired, passed)
         exchange.on_disconnect = lambda: self._client_gone(number)
         if leaving and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
@@ -304,18 +306,20 @@
 
     def ask_core(self, number: int) -> None:
         """Have the core answer a request that is held; nothing where its client has left."""
-        held = self.answers.held.get(number)
+        held = self.answers.pending.get(number)
         if held is None:
             return
         waited_ms = max((self.loop.time() - held.exchange.request.arrived) * 1000, 0.0)
         if self.cluster is not None:
             waited_ms = self.cluster.waited_ms(number)
-        self.feed(events.ManifestAsked(number, held.wanted.token, held.wanted.title, held.expired, waited_ms))
+        self.feed(
+            events.ManifestRequested(number, held.wanted.token, held.wanted.title, held.expired, waited_ms)
+        )
 
     def _client_gone(self, number: int) -> None:
         if self.answers.gone(number):
             self.counters.add("clients gone")
-            self.feed(events.ClientGone(number))
+            self.feed(events.ClientDisconnected(number))
             if self.cluster is not None:
                 self.cluster.service.forwarder.viewer_left(number)
 
@@ -335,35 +339,35 @@
 
     def _carry_out(self, action: events.Action) -> None:
         match action:
-            case events.PutSetUp():
+            case events.SendSetUp():
                 self._put(action)
             case events.ChangeRung() | attempts.AbortPut() | attempts.Release():
                 self.commands.send(action)
-            case events.KeepIntent() | events.SettleIntent() | events.Account():
+            case events.PersistIntent() | events.RecordIntentOutcome() | events.WriteLedgerEntry():
                 self._record(action)
-            case events.OpenNotices(node):
+            case events.OpenNoticeStream(node):
                 self.streams.open(node)
-            case events.CloseNotices(node):
+            case events.CloseNoticeStream(node):
                 self.streams.close(node)
             case events.StartTimer(delay_ms, event):
                 self.timeline.later(delay_ms, lambda: self.feed(event))
             case Poll(version):
                 self._list_client.poll(version)
-            case events.SaveList(boxes):
+            case events.SaveBoxList(boxes):
                 self._list_client.save(boxes)
-            case events.Say(text, number, node_name, detail):
+            case events.WriteLog(text, number, node_name, detail):
                 self.log.info(text, session=number, box=node_name, detail=detail)
             case _:
                 self._answer(action)
 
-    def _put(self, put: events.PutSetUp) -> None:
+    def _put(self, put: events.SendSetUp) -> None:
         """Send a set-up. Benchmarks time it by a probe in place of this method."""
         self.commands.send(put)
 
     def _answer(self, action: AnswerAction) -> None:
         """Answer a request here, or have the cluster see to it."""
         match action:
-            case events.ShowManifest(request, session):
+            case events.AnswerManifest(request, session):
                 self.counters.add(self.answers.show(request, session))
             case events.AnswerRefused(request, number, come_back_ms):
                 self.counters.add("refused")
@@ -371,10 +375,10 @@
             case events.AnswerFailed(request, number):
                 self.counters.add("failed")
                 self.answers.failed(request, number)
-            case events.AnswerDown(request, why):
+            case events.AnswerRejected(request, why):
                 self.counters.add("turned down", why.value)
                 self.answers.down(request, why, self._come_back_ms(why))
-            case events.SessionOver(session):
+            case events.SessionClosed(session):
                 self.answers.session_over(session)
             case _:
                 if self.cluster is not None:
@@ -386,14 +390,16 @@
             return 0.0
         return self.cluster.come_back_ms()
 
-    def _record(self, action: events.KeepIntent | events.SettleIntent | events.Account) -> None:
+    def _record(
+        self, action: events.PersistIntent | events.RecordIntentOutcome | events.WriteLedgerEntry
+    ) -> None:
         """Write down; where directors take over each other's work, a paid token is claimed first."""
         match action:
-            case events.KeepIntent() if self.cluster is not None:
+            case events.PersistIntent() if self.cluster is not None:
                 self.cluster.service.token_claims.claim(action, lambda: self._intents.write(action))
-            case events.KeepIntent():
+            case events.PersistIntent():
                 self._intents.write(action)
-            case events.SettleIntent(token, outcome):
+            case events.RecordIntentOutcome(token, outcome):
                 self.intent_log.record_outcome(token, outcome)
-            case events.Account(entry):
+            case events.WriteLedgerEntry(entry):
                 self.journal.handle(int(self.timeline.now()), entry)
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -17,7 +17,7 @@
 
 # ---- In ---------------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class ManifestAsked:
+class ManifestRequested:
     """A request for a title's manifest, with a token that verified. `waited_ms`: since its first byte."""
 
     request: int
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The request's client left before its answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class NoticeReceived:
     """A box told something of its own accord."""
 
     node: int
@@ -43,21 +43,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBroken:
+class NoticeStreamClosed:
     """The notice stream of a box ended or could not be opened."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceGone:
+class ParkedSessionMissing:
     """The box does not have the set-up that was to be taken up again."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class LinkTimer:
+class LinkTimerDue:
     """A wait that a link asked for is over."""
 
     node: int
@@ -65,31 +65,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class ModuleTimerDue:
     """A timer of the module is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
+class IntentRecovered:
     """A paid set-up from the record, at the start."""
 
-    known: RecoveredIntent
+    intent: RecoveredIntent
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimedElsewhere:
+class TokenClaimFailed:
     """The token of a paid set-up that was about to leave is another's; or nobody could be asked in time."""
 
     session: int
     attempt: int
     claim: Claim | None
-    reached: bool = True
+    quorum_reached: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Adoptee:
+class TakenOverSession:
     """A session at a box that this director owns from now on. `at`: since when, Unix ms of the box.
 
     `until`: 0, or until when it is parked there (Unix seconds).
@@ -100,55 +100,55 @@
     set_up: str
     rung: int
     path_token: str
-    at: int
-    until: float = 0.0
+    owned_since_ms: int
+    parked_until_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class SessionsTakenOver:
     """A box has handed these over. `counter`, `boot`: of its answer."""
 
     node: int
     boot: str
     counter: int
-    sessions: tuple[Adoptee, ...]
+    sessions: tuple[TakenOverSession, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Renewed:
+class BootEpochRenewed:
     """This director is in another run from now on."""
 
-    run: str
+    boot_epoch: str
 
 
 @dataclass(frozen=True, slots=True)
-class PlanInForce:
+class ZonePlanChanged:
     """Where this director's viewers go by the plan in common, a share for each zone; empty: there is none."""
 
     shares: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class NotOwner:
+class OwnershipRefused:
     """A box refused a command: it was taken over by another director."""
 
     set_up: str
 
 
 Event = (
-    ManifestAsked
-    | ClientGone
-    | Notice
-    | StreamBroken
-    | PlaceGone
-    | LinkTimer
-    | TimerDue
-    | Remembered
-    | ClaimedElsewhere
-    | Adopted
-    | Renewed
-    | NotOwner
-    | PlanInForce
+    ManifestRequested
+    | ClientDisconnected
+    | NoticeReceived
+    | NoticeStreamClosed
+    | ParkedSessionMissing
+    | LinkTimerDue
+    | ModuleTimerDue
+    | IntentRecovered
+    | TokenClaimFailed
+    | SessionsTakenOver
+    | BootEpochRenewed
+    | OwnershipRefused
+    | ZonePlanChanged
     | PollDue
     | ListAnswer
     | ListFailed
@@ -172,24 +172,24 @@
     klass: int
     paid: bool
     path_token: str
-    place: claims.Place | None = None  # where it was parked, if it is to be taken up again
+    parked_at: claims.Place | None = None  # where it was parked, if it is to be taken up again
     top: int = 0  # the highest rung that it may ever have
     rung: int = 0
     node: int = 0
     attempt: int = 0
     attempts: int = 0
     withdrawn: bool = False
-    started: float = 0.0  # ms on the module's clock
-    since: int = 0  # since when it is this director's, Unix ms of its box
+    started_ms: float = 0.0  # on the module's clock
+    owned_since_ms: int = 0  # since when it is this director's, Unix ms of its box
     # as last shown: rung, whose token in its URLs; headers and body
     manifest: tuple[tuple[int, str], Headers, bytes] | None = None
-    over: bool = False
+    closed: bool = False
     boot: str = ""  # of the box, as it was known when the token was claimed
-    unclaimed: bool = False  # its token is another's: nothing of it is to be written down
+    claim_lost: bool = False  # its token is another's: nothing of it is to be written down
 
 
 @dataclass(frozen=True, slots=True)
-class ShowManifest:
+class AnswerManifest:
     """Answer 200 with the session's manifest."""
 
     request: int
@@ -214,15 +214,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerDown:
+class AnswerRejected:
     """Answer at once, without a session."""
 
     request: int
-    why: claims.Why
+    reason: claims.Why
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
+class ForwardRequest:
     """Its token is claimed elsewhere: find out where this request goes. None: by the record of this run."""
 
     request: int
@@ -230,7 +230,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAbout:
+class FindSession:
     """Its token is in the record of an earlier run: its box may still play it."""
 
     request: int
@@ -238,28 +238,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class UpdateListedBoxes:
     """The boxes that the list names, by name."""
 
     boxes: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class SetUpLost:
+class DropOwnership:
     """Another director owns this set-up from now on."""
 
     set_up: str
 
 
 @dataclass(frozen=True, slots=True)
-class FetchTaken:
+class FetchTakenOver:
     """A box names sessions of this director that it does not know: ask the box for them."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class KeepIntent:
+class PersistIntent:
     """Make the intent of a paid set-up durable, then report IntentDurable or IntentFailed."""
 
     session: int
@@ -271,7 +271,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettleIntent:
+class RecordIntentOutcome:
     """Record what became of it."""
 
     token: str
@@ -279,7 +279,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Booked:
+class Reservation:
     """What a rung of a session takes of its box (kB/s), and the cap for its player (kbit/s)."""
 
     rate_kb: float
@@ -287,10 +287,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PutSetUp:
+class SendSetUp:
     """Send a set-up to a box; report Answered or Lost.
 
-    A session that has a place is taken up again there: where the box does not have it, PlaceGone comes first.
+    A parked session is resumed at its box. If the box no longer has it, ParkedSessionMissing is reported
+    first.
     """
 
     session: Session
@@ -298,7 +299,7 @@
     set_up: str
     node: int
     rung: int
-    booked: Booked
+    reservation: Reservation
     timeout_ms: float
 
 
@@ -309,18 +310,18 @@
     set_up: str
     node: int
     rung: int
-    booked: Booked
+    reservation: Reservation
 
 
 @dataclass(frozen=True, slots=True)
-class OpenNotices:
+class OpenNoticeStream:
     """Open the notice stream of a box."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class CloseNotices:
+class CloseNoticeStream:
     """Close it."""
 
     node: int
@@ -335,28 +336,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SaveList:
+class SaveBoxList:
     """Keep the box list for a restart."""
 
     boxes: BoxList
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class WriteLedgerEntry:
     """Write down in the ledger."""
 
     event: Started | Rerung | Ended | TurnedAway | Ran
 
 
 @dataclass(frozen=True, slots=True)
-class SessionOver:
+class SessionClosed:
     """Nothing of the session is left."""
 
     session: Session
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the operators' log."""
 
     event: str
@@ -366,27 +367,27 @@
 
 
 Action = (
-    ShowManifest
+    AnswerManifest
     | AnswerRefused
     | AnswerFailed
-    | AnswerDown
-    | PassOn
-    | AskAbout
-    | FetchTaken
-    | SetUpLost
-    | Listed
-    | KeepIntent
-    | SettleIntent
-    | PutSetUp
+    | AnswerRejected
+    | ForwardRequest
+    | FindSession
+    | FetchTakenOver
+    | DropOwnership
+    | UpdateListedBoxes
+    | PersistIntent
+    | RecordIntentOutcome
+    | SendSetUp
     | ChangeRung
     | attempts.AbortPut
     | attempts.Release
-    | OpenNotices
-    | CloseNotices
+    | OpenNoticeStream
+    | CloseNoticeStream
     | StartTimer
     | Poll
-    | SaveList
-    | Account
-    | SessionOver
-    | Say
+    | SaveBoxList
+    | WriteLedgerEntry
+    | SessionClosed
+    | WriteLog
 )
--- a/foxlift/director/intent_writer.py
+++ b/foxlift/director/intent_writer.py
@@ -29,7 +29,7 @@
         self._intent_log, self._feed = intent_log, feed
         self._log = structlog.get_logger().bind(director=config.name)
 
-    def write(self, keep: events.KeepIntent) -> None:
+    def write(self, keep: events.PersistIntent) -> None:
         """Write the intent; a disk that does not make it last within `intent-ms` counts as one that failed.
 
         The set-up never left then. The late record is followed by the word that it never ran, in this order.
@@ -60,7 +60,7 @@
         self._intent_log.record_intent(self._intent(keep), written)
         self._timeline.later(self._config.front.intent_ms, too_late)
 
-    def _intent(self, keep: events.KeepIntent) -> Intent:
+    def _intent(self, keep: events.PersistIntent) -> Intent:
         token = keep.token
         until = token.expires + self._config.tokens.leeway_s
         return Intent(token.id, until, keep.box, keep.set_up, token.tenant, token.klass)
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -10,7 +10,7 @@
 from foxlift.boxes import NoticeError, NoticeReader
 from foxlift.director import events
 from foxlift.director.ownership import Ownership
-from foxlift.director.server_pools import ServerPools, Use
+from foxlift.director.server_pools import PoolUse, ServerPools
 from foxlift.http import Call, Failure, Response
 
 
@@ -36,7 +36,7 @@
         """Open a server's stream; the core is told where it breaks."""
         if not self._ownership.may_stream(node):
             # until then hello would not name what earlier runs have there
-            self._loop.call_soon(self._feed, events.StreamBroken(node))
+            self._loop.call_soon(self._feed, events.NoticeStreamClosed(node))
             return
         run = self._runs[node] = self._run()
         reader = NoticeReader()
@@ -49,9 +49,9 @@
             self._ownership.is_refused(result)
             if self.open_streams.get(node) is call:
                 del self.open_streams[node]
-                self._feed(events.StreamBroken(node))
+                self._feed(events.NoticeStreamClosed(node))
 
-        call = self._pools.pool(node, Use.NOTICES).call(
+        call = self._pools.pool(node, PoolUse.NOTICES).call(
             "GET",
             f"/notices?director={self._name}&run={run}{self._ownership.stream_query()}",
             ended,
@@ -80,6 +80,6 @@
             self._log.warning("notices not readable", box=node, detail=str(error))
             return False
         for notice in notices:
-            self._feed(events.Notice(node, notice))
+            self._feed(events.NoticeReceived(node, notice))
             self._ownership.notice_heard(node, notice)
         return True
--- a/foxlift/director/server_pools.py
+++ b/foxlift/director/server_pools.py
@@ -13,7 +13,7 @@
 MAX_TAKEOVER_ANSWER_BYTES = 16 << 20  # a server full of sessions
 
 
-class Use(Enum):
+class PoolUse(Enum):
     """What a pool is for: none of the three may wait behind another."""
 
     COMMANDS = "commands"
@@ -32,7 +32,7 @@
     ) -> None:
         self._config, self._loop, self._listed = config.boxes, loop, listed
         self._addresses: dict[int, tuple[str, int]] = {}  # as the list named them last
-        self._pools: dict[tuple[str, int, Use], Pool] = {}
+        self._pools: dict[tuple[str, int, PoolUse], Pool] = {}
 
     def address(self, node: int) -> tuple[str, int]:
         """Host and port of a server that is or was listed."""
@@ -41,7 +41,7 @@
             self._addresses[node] = (entry.host, entry.port)
         return self._addresses[node]
 
-    def pool(self, node: int, use: Use = Use.COMMANDS) -> Pool:
+    def pool(self, node: int, use: PoolUse = PoolUse.COMMANDS) -> Pool:
         """The connections to a server for one use."""
         host, port = self.address(node)
         key = (host, port, use)
@@ -54,9 +54,9 @@
         for pool in self._pools.values():
             pool.close()
 
-    def _limits(self, use: Use) -> PoolLimits:
+    def _limits(self, use: PoolUse) -> PoolLimits:
         config = self._config
-        largest = MAX_TAKEOVER_ANSWER_BYTES if use is Use.TAKEOVERS else config.max_answer_bytes
+        largest = MAX_TAKEOVER_ANSWER_BYTES if use is PoolUse.TAKEOVERS else config.max_answer_bytes
         return PoolLimits(
             connect_ms=config.connect_ms,
             max_connections=config.max_connections,
--- a/foxlift/rehearsal/trial.py
+++ b/foxlift/rehearsal/trial.py
@@ -159,7 +159,7 @@
             match action:
                 case fl.SetRung(session, rung):
                     found = self.daemon.core.sessions.get(session)
-                    cap = self.daemon.core.booked(found, rung).max_kbps if found is not None else 0
+                    cap = self.daemon.core.reservation(found, rung).max_kbps if found is not None else 0
                     self._tell(f"session {session}: rung {rung}, up to {cap} kbit/s")
                 case fl.SetUp(session, node):
                     self._tell(f"session {session}: set up at {boxes[node].name}")
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -73,7 +73,7 @@
         daemon, shown = world.director, world.director.answers.show
 
         def show(request: int, session: Any) -> str:
-            exchange: Exchange = daemon.answers.held[request].exchange
+            exchange: Exchange = daemon.answers.pending[request].exchange
             connection = exchange._connection
             assert connection is not None
             if kind == "dropped":
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -478,22 +478,22 @@
         daemon = world.director
         first = await reload()
         assert [(await reload()).body for _ in range(3)] == [first.body] * 3
-        assert daemon.answers.reloads_ready >= 2
+        assert daemon.answers.cached_reloads >= 2
         (session,) = daemon.core.sessions.values()
         session.rung = 0  # as a SetRung of the module does
         lower = await reload()
         assert cap_of(lower) < cap_of(first)
         assert cap_of(await reload()) == cap_of(lower)
-        ready = daemon.answers.reloads_ready
+        ready = daemon.answers.cached_reloads
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         box.die()
         await world.until(lambda: not daemon.core.sessions)
-        assert not daemon.answers._ready
-        assert not daemon.answers._ready_of
+        assert not daemon.answers._cached
+        assert not daemon.answers._cached_keys
         again = await reload()
         assert again.status == 200
         assert base_of(again) != base_of(first)
-        assert daemon.answers.reloads_ready == ready
+        assert daemon.answers.cached_reloads == ready
         writer.close()
 
     run(tmp_path, test)
