--- a/foxlift/boxes/__init__.py
+++ b/foxlift/boxes/__init__.py
@@ -1,4 +1,4 @@
-"""The director's side of the media-box control protocol (docs/box-protocol.md)."""
+"""The media-box control protocol, as the director uses it (docs/box-protocol.md)."""
 
 from foxlift.boxes.notices import (
     BoxNotice,
--- a/foxlift/boxes/notices.py
+++ b/foxlift/boxes/notices.py
@@ -1,7 +1,8 @@
-"""What a box tells of its own accord: server-sent events (WHATWG HTML, 9.2), one stream a director and box.
+"""Notices that a box sends unasked: server-sent events (WHATWG HTML, 9.2), one stream for each director and
+box.
 
 The first event of a stream is `hello`: the box's boot id, its session counter and the set-ups of this
-director that it holds. A box that lost its process has another boot id, whatever its name.
+director that it holds. A restarted box process has a new boot id, even under the same name.
 """
 
 from __future__ import annotations
@@ -15,11 +16,14 @@
 
 
 class NoticeError(ValueError):
-    """A stream that cannot be read on."""
+    """A stream with an invalid event: nothing after it can be read."""
 
 
 class SessionEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """A session is over at the box: its viewer had all of it, left, or it was broken off; `at` as above."""
+    """A session has ended at the box. `how`: the reason; `at`: when, by the box's clock (Unix ms).
+
+    `how` is `done` (played to its end), `left` (its viewer left), `parked`, `moved` or `lost`.
+    """
 
     session: str
     how: str = "done"
@@ -27,9 +31,9 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """The stream begins. `counter` is the number of set-ups the box had done by then.
+    """Start of the stream. `counter`: the number of set-ups that the box has done so far.
 
-    `ended`: ends of late, told before and perhaps never heard; the latest few.
+    `ended`: the latest ends of sessions. They were sent before, and may not have arrived.
     """
 
     boot: str
@@ -39,14 +43,14 @@
 
 
 class Delivered(msgspec.Struct, frozen=True, tag="delivered"):
-    """The share of their rates that sessions here got a while ago."""
+    """The fraction of their booked rates that the box's sessions recently received."""
 
     session: str
     share: float
 
 
 class LinkUse(msgspec.Struct, frozen=True, tag="link"):
-    """What is asked of the link, and of the rack's uplink where the box knows, over what they give."""
+    """Demand over capacity of the box's link, and of its rack's uplink where the box knows it."""
 
     session: str
     link: float
@@ -54,7 +58,7 @@
 
 
 class RungInForce(msgspec.Struct, frozen=True, tag="rung"):
-    """The rung in force for a session, since when by the box's clock (Unix ms)."""
+    """The rung that a session plays. `at`: since when, by the box's clock (Unix ms)."""
 
     session: str
     rung: int
@@ -62,7 +66,7 @@
 
 
 class OwnershipLost(msgspec.Struct, frozen=True, tag="taken"):
-    """Sessions of this director that another one owns now, since when by the box's clock (Unix ms)."""
+    """Sessions of this director that another one has taken over. `at`: when, by the box's clock (Unix ms)."""
 
     sessions: tuple[str, ...]
     new_owner: str = msgspec.field(name="by")
@@ -82,23 +86,23 @@
 
 @dataclass
 class NoticeReader:
-    """Turns the bytes of a stream into notices; no I/O. Unknown kinds are passed over."""
+    """Parses the bytes of a stream into notices; no I/O. Events of unknown kinds are skipped."""
 
     buffer: bytes = b""
-    first: bool = True
+    expects_hello: bool = True
 
     def feed(self, data: bytes) -> list[BoxNotice]:
-        """Raises NoticeError for an event that is too large or ill-formed, or a stream without `hello`."""
+        """Raises NoticeError for an event that is too large or malformed, or a stream without `hello`."""
         self.buffer += data.replace(b"\r\n", b"\n")
         *events, self.buffer = self.buffer.split(b"\n\n")
         if len(self.buffer) > MAX_EVENT_BYTES:
-            raise NoticeError(f"an event of more than {MAX_EVENT_BYTES} bytes")
-        found = [notice for notice in map(self._read, events) if notice is not None]
-        if found and self.first:
-            self.first = False
-            if not isinstance(found[0], Hello):
+            raise NoticeError(f"event too large: more than {MAX_EVENT_BYTES} bytes")
+        notices = [notice for notice in map(self._read, events) if notice is not None]
+        if notices and self.expects_hello:
+            self.expects_hello = False
+            if not isinstance(notices[0], Hello):
                 raise NoticeError("the stream does not begin with hello")
-        return found
+        return notices
 
     def _read(self, event: bytes) -> BoxNotice | None:
         kind, data = "message", []
@@ -110,25 +114,25 @@
             elif name == b"data":
                 data.append(value)
         if kind not in _KINDS or not data:
-            return None  # a comment that keeps the stream alive, or a kind of a later version
+            return None  # a keep-alive comment, or a kind added by a later version
         try:
             notice = msgspec.json.decode(b"\n".join(data), type=_KINDS[kind])
         except msgspec.MsgspecError as error:
             raise NoticeError(f"{kind}: {error}") from error
         if isinstance(notice, Delivered) and not (math.isfinite(notice.share) and 0 <= notice.share <= 1):
-            raise NoticeError("delivered: share is not between 0 and 1")
-        if isinstance(notice, LinkUse) and not _sane(notice):
-            raise NoticeError("link: not a finite use")
+            raise NoticeError(f"delivered: share {notice.share} is not between 0 and 1")
+        if isinstance(notice, LinkUse) and not _is_valid(notice):
+            raise NoticeError(f"link: {notice.link} and {notice.uplink} are not all from 0 to below 1e6")
         return notice
 
 
-def _sane(notice: LinkUse) -> bool:
+def _is_valid(notice: LinkUse) -> bool:
     numbers = [notice.link] if notice.uplink is None else [notice.link, notice.uplink]
     return all(math.isfinite(number) and 0 <= number < 1e6 for number in numbers)
 
 
 def encode_notice(notice: BoxNotice) -> bytes:
-    """One event; for boxes written in Python."""
+    """One notice as a server-sent event; for boxes written in Python."""
     kind = type(notice).__struct_config__.tag
     body = msgspec.json.encode(notice)
     return b"event: %b\ndata: %b\n\n" % (str(kind).encode(), body)
--- a/foxlift/boxes/orca.py
+++ b/foxlift/boxes/orca.py
@@ -1,8 +1,8 @@
-"""Load reports in an answer's header: Open Request Cost Aggregation (ORCA, xds.data.orca.v3.OrcaLoadReport).
+"""Load reports in a response header: Open Request Cost Aggregation (ORCA, xds.data.orca.v3.OrcaLoadReport).
 
-The header is `endpoint-load-metrics`, in its JSON or its TEXT form. Of the report the `named_metrics` are
-read: `link` (asked of the link over what it gives), `link_up_to_one`, `uplink` and `streams`; all else is
-passed over. A report that cannot be read is as good as none: it must never cost the answer that it came with.
+The header is `endpoint-load-metrics`, in its JSON or its TEXT form. Only these `named_metrics` of the report
+are read: `link` (demand over capacity of the link), `link_up_to_one`, `uplink` and `streams`. An unreadable
+report is ignored: the response that carries it stays valid.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 LOAD_HEADER = "endpoint-load-metrics"
 MAX_LOAD_HEADER_CHARS = 4096
-_NAMES = ("link", "link_up_to_one", "uplink", "streams")
+_METRICS = ("link", "link_up_to_one", "uplink", "streams")
 
 
 class _Report(msgspec.Struct):
@@ -23,7 +23,7 @@
 
 
 def read_load(value: str | None) -> fl.Load | None:
-    """The module's Load, or None where there is no report that can be used."""
+    """The module's Load, or None if the header has no usable report."""
     if not value or len(value) > MAX_LOAD_HEADER_CHARS:
         return None
     form, _, text = value.strip().partition(" ")
@@ -36,9 +36,9 @@
         metrics = _read_text(text)
     else:
         return None
-    known = {name: metrics[name] for name in _NAMES if name in metrics}
-    known = {name: number for name, number in known.items() if math.isfinite(number) and 0 <= number < 1e6}
-    return fl.Load(**known) if known else None
+    valid = {name: metrics[name] for name in _METRICS if name in metrics}
+    valid = {name: number for name, number in valid.items() if math.isfinite(number) and 0 <= number < 1e6}
+    return fl.Load(**valid) if valid else None
 
 
 def _read_text(text: str) -> dict[str, float]:
--- a/foxlift/boxes/resource.py
+++ b/foxlift/boxes/resource.py
@@ -13,14 +13,15 @@
 
 
 class SetUpRequest(msgspec.Struct, frozen=True, rename="kebab"):
-    """Body of the set-up. `claim` is the id of the viewer's token, never the token.
+    """Body of the set-up request. `claim` is the id of the viewer's token, never the token.
 
-    `max_kbps` caps what the player should choose, video and sound together: it goes to it as CMSD `mb`
-    (CTA-5006) on every segment. 0: no cap is told.
+    `max_kbps`: the cap for what the player chooses, video and audio together. The box sends it to the player
+    as CMSD `mb` (CTA-5006) on every segment. 0: no cap is sent.
 
-    `run` above 0 is the director's, and makes the session one that other directors can take over; it is kept
-    for `grace_ms` without its owner's stream, and `note` with it, for whoever takes it over. Only the box's
-    process `boot` runs it; empty: any.
+    `boot_epoch`: the director's. Above 0, other directors can take the session over: the box keeps it for
+    `grace_ms` without its owner's notice stream, with `note` for the director that takes it over.
+
+    `boot`: only the box process with this boot id runs the set-up; empty: any.
     """
 
     director: str
@@ -41,9 +42,9 @@
 
 
 class SetUpResponse(msgspec.Struct, frozen=True):
-    """Body of the answer 201. `counter` is the box's number of set-ups with this one.
+    """Body of the 201 response. `counter`: the box's number of set-ups, this one included.
 
-    `at` is when it began to run, Unix ms by the box's clock: what is charged goes by it.
+    `at`: when the session began to run, Unix ms by the box's clock. Charges count from it.
     """
 
     boot: str
@@ -52,7 +53,7 @@
 
 
 class RungRequest(msgspec.Struct, frozen=True, rename="kebab"):
-    """Body of the rung change; the cap as in the set-up."""
+    """Body of a rung change; `max_kbps` as in the set-up."""
 
     rung: Annotated[int, Meta(ge=0, le=31)]
     rate_kb: Annotated[float, Meta(gt=0, le=1e9)]
@@ -60,7 +61,7 @@
 
 
 def read_set_up(body: bytes) -> SetUpResponse | None:
-    """The body of a set-up's answer, None where it cannot be read."""
+    """Parses the body of a set-up response; None if it is invalid."""
     try:
         return msgspec.json.decode(body, type=SetUpResponse)
     except msgspec.MsgspecError:
@@ -68,10 +69,10 @@
 
 
 def box_outcome(status: int, refusal: str | None) -> fl.Outcome:
-    """What a box's answer other than 201 says of the set-up.
+    """The outcome of a set-up that a box answered with another status than 201.
 
-    Only a box's own word in `foxlift-refusal` (`full`, `draining`, `cold`, `fenced`, `rebooted`) proves that
-    nothing ran: a bare 503 may come from anything between.
+    Only a `foxlift-refusal` header of the box (`full`, `draining`, `cold`, `fenced`, `rebooted`) proves that
+    nothing ran: a 503 without it may come from any proxy in between.
     """
     if status == 503 and refusal in ("full", "draining", "cold", "fenced", "rebooted"):
         return fl.Outcome.FULL
--- a/foxlift/boxes/takeover.py
+++ b/foxlift/boxes/takeover.py
@@ -1,4 +1,4 @@
-"""The takeover resource of a box, `POST /takeovers`, and what travels with it."""
+"""The takeover resource of a box, `POST /takeovers`: its messages, headers and the session note."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 from foxlift.boxes.resource import Id
 
-OWNER_HEADER = "foxlift-owner"  # header of a director's commands: name/run
-FENCE_HEADER = "foxlift-fence"  # header of a box's refusal: the run up to which the asker's are over
-BOOT_HEADER = "foxlift-boot"  # header of a box's refusal: its process
+OWNER_HEADER = "foxlift-owner"  # of a director's commands: its name and boot epoch, "name/epoch"
+FENCE_HEADER = "foxlift-fence"  # of a box's refusal: it rejects the sender's boot epochs up to this one
+BOOT_HEADER = "foxlift-boot"  # of a box's refusal: the boot id of its process
 MAX_NOTE_CHARS = 1000
-MAX_SESSIONS_PER_RESPONSE = 200  # sessions handed over by one answer
+MAX_SESSIONS_PER_RESPONSE = 200
 
 DirectorName = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
 BootEpoch = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
 class TakeoverRequest(msgspec.Struct, frozen=True, rename="kebab"):
-    """Hand over what `of` owns in runs up to `upto`, if that is still so; see docs/box-protocol.md.
+    """Hand over the sessions that `former_owner` still owns in boot epochs up to `max_epoch`.
 
-    `upto` 0: in the run that the box has seen last. `certain`: also where the box still hears from it.
-    `only`: this set-up alone; the answer then says what became of it.
+    `max_epoch` 0: the latest epoch that the box knows of it. `force`: even if its notice stream to the box is
+    open. `only_set_up`: this session alone; the response then says what became of it. See
+    docs/box-protocol.md.
     """
 
     former_owner: DirectorName = msgspec.field(name="of")
@@ -35,7 +36,7 @@
 
 
 class HeldSession(msgspec.Struct, frozen=True, rename="kebab"):
-    """A session as its box knows it. `at`: since when its present owner owns it, Unix ms of the box."""
+    """A session that a box holds. `at`: since when its present owner owns it, Unix ms by the box's clock."""
 
     set_up: str
     title: str
@@ -47,11 +48,11 @@
     path_token: str
     note: Annotated[str, Meta(max_length=MAX_NOTE_CHARS)]
     at: int
-    parked_ms: int = 0  # above 0: it is parked, and kept for so long
+    parked_ms: int = 0  # above 0: it is parked and kept for this time
 
 
 class LostSession(msgspec.Struct, frozen=True, rename="kebab"):
-    """A session that was taken from the asker, since `at`, by `by`; empty: that ended then."""
+    """A session that the sender lost at `at` to `new_owner`; empty: the session ended then."""
 
     set_up: str
     at: int
@@ -59,10 +60,12 @@
 
 
 class TakeoverResponse(msgspec.Struct, frozen=True, rename="kebab"):
-    """What the asker owns there now by takeover, whether through this order or an earlier one.
+    """The sessions at the box that the sender owns by takeover, through this request or an earlier one.
 
-    `since`: what ended up to then (Unix ms) it may have forgotten; 0: nothing. `only`: what it knows of that
-    one; `owner`: whose it is. `gone`: what others took of the asker's own earlier runs.
+    `at`: time of the response. `forgotten_up_to`: the box may have forgotten sessions that ended up to this
+    time (Unix ms); 0: none. `set_up_state`: the state of the requested `only_set_up`, `owner` its owner.
+    `lost`: sessions of the sender's own earlier epochs that ended or were taken over by others. `more`: the
+    limit of one response was reached; ask again.
     """
 
     boot: str
@@ -77,7 +80,7 @@
 
 
 def read_takeover_response(body: bytes) -> TakeoverResponse | None:
-    """None where it cannot be read."""
+    """Parses the body of a takeover response; None if it is invalid."""
     try:
         return msgspec.json.decode(body, type=TakeoverResponse)
     except msgspec.MsgspecError:
@@ -85,12 +88,13 @@
 
 
 def owner_header(name: str, boot_epoch: int) -> tuple[str, str]:
-    """Names the sender of a command."""
+    """The header that names the sender of a command."""
     return OWNER_HEADER, f"{name}/{boot_epoch}"
 
 
 class SessionNote(msgspec.Struct, frozen=True, array_like=True):
-    """What a director gives a box to keep for whoever takes the session over: the rest of its token."""
+    """What a director stores at the box for the director that takes the session over: the rest of its
+    token."""
 
     viewer: str
     expires: int
@@ -99,13 +103,13 @@
 
 
 def write_note(note: SessionNote) -> str:
-    """The note as it travels; empty where it is too long to be kept."""
+    """Encodes the note; empty if it is longer than MAX_NOTE_CHARS."""
     text = msgspec.json.encode(note).decode()
     return text if len(text) <= MAX_NOTE_CHARS else ""
 
 
 def read_note(text: str) -> SessionNote | None:
-    """None where it cannot be read."""
+    """Parses a note; None if it is invalid."""
     try:
         return msgspec.json.decode(text, type=SessionNote)
     except msgspec.MsgspecError:
