--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -75,7 +75,7 @@
         put, show, asked, feed = daemon._put, daemon.answers.show, daemon.asked, daemon.feed
 
         def on_asked(exchange: Exchange) -> None:
-            asked_at[daemon._last_request + 1] = exchange.request.arrived
+            asked_at[daemon._last_request + 1] = exchange.request.arrived_s
             asked(exchange)
 
         def on_put(action: ev.SendSetUp) -> None:
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -183,7 +183,7 @@
             return 0.0
         request = held.exchange.request
         before = request.headers.get(WAITED_HEADER, "") if held.passed else ""
-        waited = (self.daemon.loop.time() - request.arrived) * 1000
+        waited = (self.daemon.loop.time() - request.arrived_s) * 1000
         return max(waited, 0.0) + (float(before) if before.isdigit() and len(before) < 8 else 0.0)
 
     def asked(self, number: int, passed: bool) -> bool:
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -309,7 +309,7 @@
         held = self.answers.pending.get(number)
         if held is None:
             return
-        waited_ms = max((self.loop.time() - held.exchange.request.arrived) * 1000, 0.0)
+        waited_ms = max((self.loop.time() - held.exchange.request.arrived_s) * 1000, 0.0)
         if self.cluster is not None:
             waited_ms = self.cluster.waited_ms(number)
         self.feed(
--- a/foxlift/http/__init__.py
+++ b/foxlift/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server and client as asyncio protocols on httptools, with limits on what a peer may cost."""
+"""HTTP/1.1 server and client as asyncio protocols on httptools, with limits for each peer."""
 
 from foxlift.http.client import Call, Failure, FailureKind, Pool, PoolLimits, Response
 from foxlift.http.cors import Cors
--- a/foxlift/http/client.py
+++ b/foxlift/http/client.py
@@ -1,11 +1,11 @@
-"""The asking side: a pool of connections, one call at a time on each, no repeats of its own.
+"""HTTP client: a pool of connections, one call at a time on each, without retries.
 
-A call's phases. What matters to a caller is whether the peer can have acted on it: from `SENT` on it can.
+A call's phases. From `SENT` on the peer may have acted on the request.
 
-    WAITING   no connection yet             cancelled or timed out here: provably never sent
-    SENT      bytes handed to the transport any failure from here on: may have run
-    BODY      header section of the answer read
-    DONE      result told, once
+    WAITING   no connection yet                 a call cancelled or timed out here was certainly never sent
+    SENT      bytes handed to the transport     any failure from here on: the request may have run
+    BODY      header section of the response read
+    DONE      result reported, exactly once
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class FailureKind(Enum):
-    """Why a call has no answer."""
+    """Why a call has no response."""
 
     CONNECT = "no connection"
     RESET = "connection lost"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A call without an answer. `sent`: whether any byte of it was handed to a connection."""
+    """A call without a response. `sent`: whether any byte of it was handed to a connection."""
 
     kind: FailureKind
     sent: bool
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer; with a streamed body, its head."""
+    """A whole response; if the body is streamed, its status and headers only."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """A header's value by its lower-case name, None where it is absent."""
+        """A header's value by its lower-case name, None if it is absent."""
         return header(self.headers, name)
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """What the peers of a pool may cost. Times are milliseconds, sizes bytes."""
+    """Limits of a pool's connections and responses."""
 
     connect_ms: float = 250.0
     max_connections: int = 64
@@ -70,7 +70,7 @@
 
 
 class Phase(Enum):
-    """How far a call has come."""
+    """The progress of a call; see the head of this module."""
 
     WAITING = "waiting for a connection"
     SENT = "handed to a connection"
@@ -79,7 +79,7 @@
 
 
 class Call:
-    """One request on its way. `on_result` is called exactly once, never from inside `Pool.call`."""
+    """One request in progress. `on_result` is called exactly once, never from inside `Pool.call`."""
 
     def __init__(
         self,
@@ -97,44 +97,44 @@
 
     @property
     def sent(self) -> bool:
-        """Whether any byte of the request may have left this process."""
+        """Whether any byte of the request may have been sent."""
         return self.phase in (Phase.SENT, Phase.BODY)
 
     @property
     def streaming(self) -> bool:
-        """Whether the body goes to `on_data` piece by piece."""
+        """Whether the body is passed to `on_data` in pieces."""
         return self._on_data is not None
 
     def cancel(self) -> None:
-        """Call it off; the result is a Failure that tells whether it had left. No effect once over."""
-        self._give_up(FailureKind.CANCELLED)
+        """Cancel the call; the result is a Failure with `sent`. No effect once the call is done."""
+        self._abort(FailureKind.CANCELLED)
 
-    def _arm(self, timeout_ms: float) -> None:
-        self._timer = self._pool.loop.call_later(timeout_ms / 1000, self._give_up, FailureKind.TIMEOUT)
+    def _set_timeout(self, timeout_ms: float) -> None:
+        self._timer = self._pool.loop.call_later(timeout_ms / 1000, self._abort, FailureKind.TIMEOUT)
 
-    def _give_up(self, kind: FailureKind) -> None:
+    def _abort(self, kind: FailureKind) -> None:
         if self.phase is Phase.DONE:
             return
         connection, sent = self._connection, self.sent
-        self._pool.forget(self)
+        self._pool.remove(self)
         self._settle(Failure(kind, sent))
         if connection is not None:
             connection.call = None
-            connection.abort()  # an answer may still come on it: it can serve no other call
+            connection.abort()  # the response may still arrive on it, so no other call can use it
 
-    def _go(self, connection: _ClientConnection) -> None:
+    def _start(self, connection: _ClientConnection) -> None:
         self._connection = connection
         if connection.begin(self, self._data):
             self.phase = Phase.SENT
-        else:  # closed under our hands, before a byte was handed over
+        else:  # closed meanwhile, before any byte was handed over
             self._pool.loop.call_soon(self._settle, Failure(FailureKind.CONNECT, False, "closed"))
 
-    def _head(self, answer: Response) -> None:
+    def _head(self, response: Response) -> None:
         self.phase = Phase.BODY
         if self._on_head is not None:
-            self._on_head(answer)
+            self._on_head(response)
 
-    def _piece(self, data: bytes) -> None:
+    def _deliver(self, data: bytes) -> None:
         if self._on_data is not None:
             self._on_data(data)
 
@@ -154,7 +154,7 @@
         self.transport: asyncio.Transport | None = None
         self.call: Call | None = None
         self.idle_since = 0.0
-        self.lost = False
+        self.is_closed = False
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
         self._body: list[bytes] = []
@@ -166,7 +166,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def begin(self, call: Call, data: bytes) -> bool:
-        """Hand the request over; False where the connection is closed already and nothing was."""
+        """Send the request; False if the connection is already closed and nothing was sent."""
         if self.transport is None or self.transport.is_closing():
             return False
         self.call = call
@@ -181,14 +181,14 @@
 
     def data_received(self, data: bytes) -> None:
         if self.call is None:
-            self.abort()  # an answer to nothing: the next call must not take it for its own
+            self.abort()  # unexpected data: the next call must not take it for its response
             return
         if self._in_head:
             self._head_size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            too_large = isinstance(error.__context__, _TooLarge)
+            too_large = isinstance(error.__context__, _TooLargeError)
             self._fail(FailureKind.TOO_LARGE if too_large else FailureKind.INVALID, type(error).__name__)
             return
         except httptools.HttpParserUpgrade:
@@ -198,11 +198,11 @@
             self._fail(FailureKind.TOO_LARGE, "header section")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
         call, self.call = self.call, None
-        self.pool.lost(self)
+        self.pool.connection_lost(self)
         if call is not None:
-            # a body without a stated length ends with the connection (RFC 9112 section 6.3)
+            # includes bodies without a stated length, which end with the connection (RFC 9112 section 6.3)
             call._settle(Failure(FailureKind.RESET, True, type(exc).__name__ if exc else "closed"))
 
     def eof_received(self) -> bool:
@@ -211,13 +211,13 @@
     # ---- httptools ----------------------------------------------------------------------------------------
     def on_header(self, name: bytes, value: bytes) -> None:
         if len(self._headers) >= 100:
-            raise _TooLarge
+            raise _TooLargeError
         self._headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         if sum(len(k) + len(v) for k, v in self._headers) > self.pool.limits.max_header_bytes:
-            raise _TooLarge
+            raise _TooLargeError
         if self.call is not None and self._parser.get_status_code() >= 200:
             self.call._head(Response(self._parser.get_status_code(), tuple(self._headers), b""))
 
@@ -226,11 +226,11 @@
         if call is None:
             return
         if call.streaming:
-            call._piece(body)
+            call._deliver(body)
             return
         self._size += len(body)
         if self._size > self.pool.limits.max_response_bytes:
-            raise _TooLarge
+            raise _TooLargeError
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -241,12 +241,12 @@
         call, self.call = self.call, None
         if call is None:
             return
-        answer = Response(status, tuple(self._headers), b"".join(self._body))
+        response = Response(status, tuple(self._headers), b"".join(self._body))
         if self._parser.should_keep_alive():
-            self.pool.give_back(self)
+            self.pool.release(self)
         else:
             self.abort()
-        call._settle(answer)
+        call._settle(response)
 
     def _fail(self, kind: FailureKind, detail: str) -> None:
         call, self.call = self.call, None
@@ -255,17 +255,17 @@
             call._settle(Failure(kind, True, detail))
 
     def abort(self) -> None:
-        self.lost = True
+        self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
-class _TooLarge(Exception):
+class _TooLargeError(Exception):
     pass
 
 
 class Pool:
-    """Connections to one peer. Calls beyond the limit wait in turn until their time is up."""
+    """Connections to one peer. Calls beyond the limit wait in a queue until their time-out."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int, limits: PoolLimits) -> None:
         self.loop, self.host, self.port, self.limits = loop, host, port, limits
@@ -288,14 +288,14 @@
         on_head: Callable[[Response], None] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Call:
-        """Send a request as soon as a connection is free. With `on_data` the body is streamed to it."""
+        """Send a request as soon as a connection is free. With `on_data`, the body is streamed to it."""
         data = encode_request(method, target, f"{self.host}:{self.port}", headers, body)
         call = Call(self, data, on_result, on_head, on_data)
         if timeout_ms is not None:
-            call._arm(timeout_ms)
+            call._set_timeout(timeout_ms)
         connection = self._take_idle()
         if connection is not None:
-            call._go(connection)
+            call._start(connection)
         else:
             self._waiting.append(call)
             self._open_one()
@@ -304,11 +304,13 @@
     def _take_idle(self) -> _ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            old = self.loop.time() - connection.idle_since > self.limits.idle_ms / 1000
-            if connection.lost or (connection.transport is not None and connection.transport.is_closing()):
+            expired = self.loop.time() - connection.idle_since > self.limits.idle_ms / 1000
+            if connection.is_closed or (
+                connection.transport is not None and connection.transport.is_closing()
+            ):
                 continue
-            if old:
-                # the peer may be closing it just now, and a paid set-up lost so is lost for good
+            if expired:
+                # the peer may be closing it right now, and a paid set-up lost that way cannot be repeated
                 connection.abort()
                 continue
             return connection
@@ -332,41 +334,41 @@
             self._open -= 1
             self._connect_failed(type(error).__name__)
             return
-        if connection.lost or self.closed:
+        if connection.is_closed or self.closed:
             self._open -= 1
             connection.abort()
-            self._connect_failed("closed as it was made")
+            self._connect_failed("closed while it was opened")
             return
         self._all.add(connection)
         if self._waiting:
-            self._waiting.popleft()._go(connection)
+            self._waiting.popleft()._start(connection)
         else:
-            self.give_back(connection)
+            self.release(connection)
 
     def _connect_failed(self, detail: str) -> None:
-        """One failed connect answers one waiting call; each of the others has its own under way."""
+        """A failed connect fails one waiting call; each of the others has its own connect under way."""
         if self._waiting:
             self._waiting.popleft()._settle(Failure(FailureKind.CONNECT, False, detail))
 
-    def give_back(self, connection: _ClientConnection) -> None:
-        """A connection is free again."""
-        if connection.lost or self.closed:
+    def release(self, connection: _ClientConnection) -> None:
+        """Reuse a connection whose call is done."""
+        if connection.is_closed or self.closed:
             connection.abort()
         elif self._waiting:
-            self._waiting.popleft()._go(connection)
+            self._waiting.popleft()._start(connection)
         else:
             connection.idle_since = self.loop.time()
             self._idle.append(connection)
 
-    def forget(self, call: Call) -> None:
-        """A call is over before a connection was free for it."""
+    def remove(self, call: Call) -> None:
+        """Remove a call that ended while it waited for a connection."""
         if call.phase is Phase.WAITING and call in self._waiting:
             self._waiting.remove(call)
 
-    def lost(self, connection: _ClientConnection) -> None:
-        """A connection is closed or broken."""
+    def connection_lost(self, connection: _ClientConnection) -> None:
+        """Account for a connection that was closed or broken."""
         if connection not in self._all:
-            return  # lost before its connect was told: counted there
+            return  # lost before its connect was reported: `_connect` counts it
         self._open -= 1
         self._all.discard(connection)
         if connection in self._idle:
@@ -375,7 +377,7 @@
             self._open_one()
 
     def close(self) -> None:
-        """Break off every connection and fail what waits."""
+        """Abort every connection and fail the waiting calls."""
         self.closed = True
         for task in list(self._opening):
             task.cancel()
--- a/foxlift/http/cors.py
+++ b/foxlift/http/cors.py
@@ -1,7 +1,7 @@
-"""Letting in pages of other origins, by the Fetch standard (WHATWG, 3.2 CORS protocol). No I/O.
+"""Cross-origin access for pages, by the Fetch standard (WHATWG, 3.2 CORS protocol). No I/O.
 
-No credentials are ever allowed with an origin: who may see a title is said by the token in the request, and a
-page that has none gains nothing. A preflight is answered from bytes that were made once.
+Credentials are never allowed: access to a title is granted by the token in the request, and a page without
+one gains nothing. Preflight responses are encoded once and cached.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from foxlift.http.messages import Headers, encode_head
 
 ANY = "*"
-METHODS = "GET, HEAD, OPTIONS"
-# what a player may send: tokens, ranges, CMCD (CTA-5004 section 2), and what a page's own fetch may add
-ALLOWED = (
+ALLOWED_METHODS = "GET, HEAD, OPTIONS"
+# request headers that a player may send: token, range, CMCD (CTA-5004 section 2), and those of a page's fetch
+REQUEST_HEADERS = (
     "authorization",
     "range",
     "cmcd-object",
@@ -25,7 +25,7 @@
     "content-type",
     "accept",
 )
-EXPOSED = (
+EXPOSED_HEADERS = (
     "CMSD-Static",
     "CMSD-Dynamic",
     "Content-Length",
@@ -35,11 +35,11 @@
     "Retry-After",
     "foxlift-come-back-ms",
 )
-KEPT = 256  # preflight answers kept, by origin
+MAX_CACHED_PREFLIGHTS = 256  # one for each origin
 
 
 class Cors:
-    """The origins that are let in: any, or a list."""
+    """The allowed origins: any, or a list."""
 
     def __init__(self, origins: tuple[str, ...] = (ANY,), max_age_s: int = 7200) -> None:
         self._any = ANY in origins
@@ -52,48 +52,48 @@
         vary: Headers = () if origin == ANY else (("vary", "Origin"),)
         return (
             ("access-control-allow-origin", origin),
-            ("access-control-expose-headers", ", ".join(EXPOSED)),
+            ("access-control-expose-headers", ", ".join(EXPOSED_HEADERS)),
             ("timing-allow-origin", origin),
             *vary,
         )
 
-    def headers(self, asked: Mapping[str, str]) -> Headers:
-        """What an answer carries so that a page may read it."""
+    def headers(self, request_headers: Mapping[str, str]) -> Headers:
+        """The response headers that let a page read the response."""
         if self._any:
             return self._any_headers
-        origin = asked.get("origin", "")
-        # without Vary a shared cache would hand one origin's answer to another
+        origin = request_headers.get("origin", "")
+        # without Vary a shared cache would serve one origin's response to another
         return self._headers(origin) if origin in self._origins else (("vary", "Origin"),)
 
     @property
     def allows_any(self) -> bool:
-        """Whether answers are the same for every origin."""
+        """Whether every origin is allowed, so that responses are the same for all."""
         return self._any
 
     def allows(self, origin: str) -> bool:
-        """Whether a page of this origin may read answers."""
+        """Whether a page of this origin may read responses."""
         return self._any or origin in self._origins
 
-    def preflight(self, asked: Mapping[str, str]) -> bytes:
-        """The whole answer to an OPTIONS request, kept alive."""
-        origin = asked.get("origin", "")
-        key = ANY if self._any and "access-control-request-method" in asked else origin
-        if "access-control-request-method" not in asked:
+    def preflight(self, request_headers: Mapping[str, str]) -> bytes:
+        """The whole response to an OPTIONS request, on a connection that stays open."""
+        origin = request_headers.get("origin", "")
+        key = ANY if self._any and "access-control-request-method" in request_headers else origin
+        if "access-control-request-method" not in request_headers:
             key = ""
-        answer = self._preflights.get(key)
-        if answer is None:
-            answer = self._make(key)
-            if len(self._preflights) < KEPT:
-                self._preflights[key] = answer
-        return answer
+        response = self._preflights.get(key)
+        if response is None:
+            response = self._encode(key)
+            if len(self._preflights) < MAX_CACHED_PREFLIGHTS:
+                self._preflights[key] = response
+        return response
 
-    def _make(self, origin: str) -> bytes:
-        headers: Headers = (("allow", METHODS),)
+    def _encode(self, origin: str) -> bytes:
+        headers: Headers = (("allow", ALLOWED_METHODS),)
         if origin and self.allows(origin):
             headers += (
                 ("access-control-allow-origin", origin),
-                ("access-control-allow-methods", METHODS),
-                ("access-control-allow-headers", ", ".join(ALLOWED)),
+                ("access-control-allow-methods", ALLOWED_METHODS),
+                ("access-control-allow-headers", ", ".join(REQUEST_HEADERS)),
                 ("access-control-max-age", str(self._max_age_s)),
             )
         if not self._any:
--- a/foxlift/http/messages.py
+++ b/foxlift/http/messages.py
@@ -1,4 +1,4 @@
-"""What travels: requests, header lists, limits and problem details."""
+"""HTTP messages: requests, header lists, limits and problem details."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one peer may cost a server. Times are milliseconds, sizes bytes."""
+    """Limits of a server's connections and requests."""
 
     max_connections: int = 20_000
     max_header_bytes: int = 16_384
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request as read: header names in lower case, the path still percent-encoded."""
+    """One request as received: header names in lower case, the path still percent-encoded."""
 
     method: str
     path: str
@@ -36,7 +36,7 @@
     headers: Mapping[str, str]
     body: bytes
     peer: str
-    arrived: float = field(default=0.0)  # loop time of the first byte, seconds
+    arrived_s: float = field(default=0.0)  # of its first byte, on the loop's clock
 
 
 def header(headers: Headers, name: str) -> str | None:
@@ -53,7 +53,7 @@
 
 
 def encode_head(status: int, headers: Headers, length: int | None, close: bool) -> bytes:
-    """Status line and header section (RFC 9112 sections 4 and 5); without a length the body is chunked."""
+    """Status line and header section (RFC 9112 sections 4 and 5); if `length` is None the body is chunked."""
     lines = [f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if status not in (204, 304):
--- a/foxlift/http/named_pools.py
+++ b/foxlift/http/named_pools.py
@@ -1,4 +1,4 @@
-"""Connection pools to several servers by name, for requests and answers in JSON."""
+"""Connection pools to several servers by name, for requests and responses in JSON."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class NamedPools:
-    """One pool for each server that is called. `urls`: of every server that may be, by name.
+    """One pool for each server. `urls`: the URL of each server by name.
 
-    `on_unreadable` is called for each answer whose body cannot be read.
+    `on_unreadable` is called for each response whose body cannot be decoded.
     """
 
     def __init__(
@@ -45,7 +45,8 @@
         decode: Callable[[bytes], T],
         done: Callable[[T | None], None],
     ) -> None:
-        """POST to a server. `done(None)`: no 200, or no body that `decode` reads (it raises MsgspecError)."""
+        """POST to a server. `done(None)`: the status is not 200, or `decode` raised MsgspecError for the
+        body."""
 
         def finished(result: Response | Failure) -> None:
             answer: T | None = None
@@ -60,7 +61,7 @@
         self._pool(to).call("POST", path, finished, headers=JSON_HEADERS, body=body, timeout_ms=timeout_ms)
 
     def notify(self, to: str, path: str, body: bytes) -> None:
-        """POST a message that a later one repeats: whether it arrives does not matter."""
+        """POST a message that may be lost, because a later one repeats it."""
         if not self.closed and to in self._addresses:
             self._pool(to).call(
                 "POST", path, lambda _: None, headers=JSON_HEADERS, body=body, timeout_ms=NOTIFY_TIMEOUT_MS
--- a/foxlift/http/server.py
+++ b/foxlift/http/server.py
@@ -1,14 +1,14 @@
-"""The listening side: one protocol object a connection, one exchange a request.
+"""HTTP server: one protocol object for each connection, one exchange for each request.
 
-A connection's states, each with its clock:
+The states of a connection and their time limits:
 
-    IDLE  -> HEAD   first byte of a request        idle_time_ms, then closed without a word
+    IDLE  -> HEAD   first byte of a request        idle_time_ms, then closed without a response
     HEAD  -> BODY   header section complete        header_time_ms from the first byte, then 408
-    BODY  -> IDLE   message complete               the same clock
+    BODY  -> IDLE   message complete               the same limit
     any   -> CLOSED error, end of input, or limit
 
-End of input closes the connection even while an answer is owed: a player that walks away and one that closes
-its sending half look the same, and a set-up for a viewer who has left must be called off.
+End of input closes the connection even if a response is pending: a client that has left and one that only
+closed its sending half look the same, and the set-up for a viewer who has left must be cancelled.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from foxlift.http.cors import Cors
 from foxlift.http.messages import Headers, Limits, Request, encode_head, problem
 
-MAX_FIELDS = 100  # header fields of one request, repeated ones counted each time
+MAX_HEADER_FIELDS = 100  # of one request, counting repeated fields each time
 
 Handler = Callable[["Exchange"], None]
 
@@ -37,7 +37,7 @@
 
 
 class ResponseStream:
-    """A body sent in pieces: chunked (RFC 9112 section 7.1), or of a length stated before."""
+    """A response body sent in pieces: chunked (RFC 9112 section 7.1) or of a known length."""
 
     def __init__(self, exchange: Exchange, body_allowed: bool, chunked: bool) -> None:
         self._exchange, self._body_allowed, self._chunked = exchange, body_allowed, chunked
@@ -59,11 +59,11 @@
 
 
 class Exchange:
-    """One request and its one answer; a second answer is an error of the caller."""
+    """One request and its response; sending a second response is a caller's error."""
 
     __slots__ = (
         "_connection",
-        "_held",
+        "_pending_writes",
         "answered",
         "common_headers",
         "done",
@@ -76,30 +76,30 @@
     def __init__(self, connection: _Connection, request: Request, keep_alive: bool) -> None:
         self._connection: _Connection | None = connection
         self.request, self.keep_alive = request, keep_alive
-        self.common_headers = connection.server.common_headers_for(request)  # what every answer here carries
+        self.common_headers = connection.server.common_headers_for(request)
         self.on_disconnect: Callable[[], None] | None = None
         self.answered = self.done = False
         self.stream: ResponseStream | None = None
-        self._held: list[bytes] = []  # written before its turn among pipelined answers
+        self._pending_writes: list[bytes] = []  # written before the earlier pipelined responses were done
 
     @property
     def disconnected(self) -> bool:
-        """Whether the peer has left: nothing that is written arrives any more."""
+        """Whether the connection is closed; nothing written arrives any more."""
         return self._connection is None
 
     def reply(self, status: int, headers: Headers = (), body: bytes = b"") -> None:
-        """Send the whole answer. RuntimeError where one was sent already."""
-        self._begin()
+        """Send the whole response. Raises RuntimeError if one was already sent."""
+        self._claim_response()
         keep = self.keep_alive and not (self._connection is not None and self._connection.server.stopping)
         self.keep_alive = keep
         head = encode_head(status, headers + self.common_headers, len(body), close=not keep)
         self._write(head if self.request.method == "HEAD" or status in (204, 304) else head + body)
         self._finish()
 
-    def reply_whole(self, answer: bytes) -> None:
-        """Send an answer that was made before: head and body, kept alive."""
-        self._begin()
-        self._write(answer)
+    def reply_encoded(self, response: bytes) -> None:
+        """Send an encoded response, headers and body; the connection stays open."""
+        self._claim_response()
+        self._write(response)
         self._finish()
 
     def reply_problem(self, status: int, title: str, detail: str = "", extra: Headers = ()) -> None:
@@ -108,28 +108,32 @@
         self.reply(status, headers + extra, body)
 
     def start_stream(self, status: int, headers: Headers = (), length: int | None = None) -> ResponseStream:
-        """Send the header section; the body follows in pieces, `length` bytes where that is known.
+        """Send the header section; the body follows in pieces, `length` bytes in total if that is known.
 
-        A caller that cannot send as many as it stated aborts.
+        A caller that cannot send `length` bytes has to abort.
         """
-        self._begin()
+        self._claim_response()
         self.stream = ResponseStream(self, self.request.method != "HEAD", length is None)
         self._write(encode_head(status, headers + self.common_headers, length, close=not self.keep_alive))
         return self.stream
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Abort the connection."""
         if self._connection is not None:
             self._connection.abort()
 
-    def on_raw_request(self, with_bytes: Callable[[bytes], None]) -> None:
-        """Before the answer: learn the bytes of this request, if it came whole, alone and is kept alive."""
+    def on_raw_request(self, callback: Callable[[bytes], None]) -> None:
+        """Ask for the raw bytes of this request; call it before the response.
+
+        `callback` is called only if the request arrived alone and in one piece, on a connection that stays
+        open.
+        """
         if self._connection is not None and self.keep_alive:
-            self._connection._on_raw_request = with_bytes
+            self._connection._on_raw_request = callback
 
-    def _begin(self) -> None:
+    def _claim_response(self) -> None:
         if self.answered:
-            raise RuntimeError("this exchange was answered already")
+            raise RuntimeError("this exchange already has a response")
         self.answered = True
 
     def _write(self, data: bytes) -> bool:
@@ -137,7 +141,7 @@
         if connection is None:
             return True
         if connection.exchanges[0] is not self:
-            self._held.append(data)
+            self._pending_writes.append(data)
             return True
         return connection.send(data)
 
@@ -163,7 +167,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._closing = False
         self._paused = False
-        self._messages = 0
+        self._message_count = 0
         self._on_raw_request: Callable[[bytes], None] | None = None
         self._peer = ""
 
@@ -178,30 +182,30 @@
             self.transport.write(encode_head(503, (*headers, ("retry-after", "1")), len(body), True) + body)
             self._close()
             return
-        self._arm(self.server.limits.idle_time_ms)
+        self._set_deadline(self.server.limits.idle_time_ms)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.state = _State.CLOSED
-        self.server.drop(self)
+        self.server.remove(self)
         if self._timer is not None:
             self._timer.cancel()
-        self._leave_exchanges()
+        self._disconnect_exchanges()
 
     def eof_received(self) -> bool:
-        self._leave_exchanges()
+        self._disconnect_exchanges()
         return False
 
     def data_received(self, data: bytes) -> None:
         if self.state is _State.CLOSED or self._closing:
             return
-        began_idle = self.state is _State.IDLE and not self.exchanges
-        if began_idle and (answer := self.server.cached_response(data)) is not None:
+        was_idle = self.state is _State.IDLE and not self.exchanges
+        if was_idle and (response := self.server.cached_response(data)) is not None:
             self._deadline = self.server.loop.time() + self.server.limits.idle_time_ms / 1000
-            self.send(answer)
+            self.send(response)
             return
-        before = self._messages
+        before = self._message_count
         self._read(data)
-        if began_idle and self._messages == before + 1 and self.state is _State.IDLE:
+        if was_idle and self._message_count == before + 1 and self.state is _State.IDLE:
             callback, self._on_raw_request = self._on_raw_request, None
             if callback is not None:
                 callback(data)
@@ -209,35 +213,35 @@
     def _read(self, data: bytes) -> None:
         if self.state is _State.IDLE:
             self._first_byte = self.server.loop.time()
-            self._arm(self.server.limits.header_time_ms)
+            self._set_deadline(self.server.limits.header_time_ms)
             self.state = _State.HEAD
             self._header_size = 0
         if self.state is _State.HEAD:
             self._header_size += len(data)
         try:
             self._parser.feed_data(data)
-        except _Refused as refused:
-            self._refuse(refused.status, refused.title)
+        except _RejectedError as rejected:
+            self._reject(rejected.status, rejected.title)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
-            if isinstance(cause, _Refused):
-                self._refuse(cause.status, cause.title)
+            if isinstance(cause, _RejectedError):
+                self._reject(cause.status, cause.title)
             else:
                 raise
         except httptools.HttpParserError:
-            self._refuse(400, "malformed request")
+            self._reject(400, "malformed request")
         else:
             if self.state is _State.HEAD and self._header_size > self.server.limits.max_header_bytes:
-                self._refuse(431, "header section too large")
+                self._reject(431, "header section too large")
 
     def pause_writing(self) -> None:
-        """The peer reads slower than it is answered: stop taking requests of it until it has read."""
+        """The peer reads slower than it is sent responses: read no requests until it catches up."""
         self._paused = True
-        self._read_on()
+        self._update_reading()
 
     def resume_writing(self) -> None:
         self._paused = False
-        self._read_on()
+        self._update_reading()
         if self.exchanges:
             stream = self.exchanges[0].stream
             if stream is not None and stream.on_drain is not None:
@@ -252,13 +256,13 @@
     def on_url(self, url: bytes) -> None:
         self._url += url
         if len(self._url) > self.server.limits.max_header_bytes:
-            raise _Refused(414, "target too long")
+            raise _RejectedError(414, "target too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.decode("latin-1").lower()
         self._header_count += 1
-        if self._header_count > MAX_FIELDS:
-            raise _Refused(431, "too many header fields")
+        if self._header_count > MAX_HEADER_FIELDS:
+            raise _RejectedError(431, "too many header fields")
         text = value.decode("latin-1")
         self._headers[key] = f"{self._headers[key]}, {text}" if key in self._headers else text
 
@@ -266,21 +270,21 @@
         self.state = _State.BODY
         size = len(self._url) + sum(len(k) + len(v) for k, v in self._headers.items())
         if size > self.server.limits.max_header_bytes:
-            raise _Refused(431, "header section too large")
+            raise _RejectedError(431, "header section too large")
         if self._parser.should_upgrade():
-            raise _Refused(400, "upgrade is not offered")
+            raise _RejectedError(400, "upgrade is not offered")
         length = self._headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.server.limits.max_body_bytes:
-            raise _Refused(413, "body too large")
+            raise _RejectedError(413, "body too large")
         if "host" not in self._headers and self._parser.get_http_version() == "1.1":
-            raise _Refused(400, "no host")  # RFC 9112 section 3.2
+            raise _RejectedError(400, "no Host header")  # RFC 9112 section 3.2
         if self._headers.get("expect", "").lower() == "100-continue" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         self._body_size += len(body)
         if self._body_size > self.server.limits.max_body_bytes:
-            raise _Refused(413, "body too large")
+            raise _RejectedError(413, "body too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -297,23 +301,23 @@
             headers=self._headers,
             body=b"".join(self._body),
             peer=self._peer,
-            arrived=self._first_byte,
+            arrived_s=self._first_byte,
         )
         exchange = Exchange(self, request, self._parser.should_keep_alive())
-        self._messages += 1
+        self._message_count += 1
         self._on_raw_request = None
         self.exchanges.append(exchange)
-        self._arm(self.server.limits.idle_time_ms)
+        self._set_deadline(self.server.limits.idle_time_ms)
         if len(self.exchanges) > self.server.limits.max_pipelined:
             exchange.keep_alive = False
             exchange.reply_problem(429, "too many requests in one pipeline")
             self._closing = True
             return
-        self._read_on()
+        self._update_reading()
         if not path.startswith("/"):
-            exchange.reply_problem(400, "the target is no path")
+            exchange.reply_problem(400, "the target is not a path")
         elif request.method == "OPTIONS" and self.server.cors is not None:
-            exchange.reply_whole(self.server.cors.preflight(request.headers))
+            exchange.reply_encoded(self.server.cors.preflight(request.headers))
         elif self.server.stopping:
             exchange.reply_problem(503, "stopping", extra=(("retry-after", "1"),))
         else:
@@ -326,7 +330,7 @@
         return not self._paused
 
     def exchange_done(self, exchange: Exchange) -> None:
-        """Let the next pipelined answers go, in the order in which they were asked."""
+        """Send the next pipelined responses, in the order of their requests."""
         while self.exchanges and self.exchanges[0].done:
             finished = self.exchanges.popleft()
             finished._connection = None
@@ -335,27 +339,27 @@
                 return
             if self.exchanges:
                 following = self.exchanges[0]
-                for data in following._held:
+                for data in following._pending_writes:
                     self.send(data)
-                following._held.clear()
+                following._pending_writes.clear()
         if not self.exchanges and self.server.stopping:
             self._close()
             return
-        self._read_on()
+        self._update_reading()
 
-    def _read_on(self) -> None:
+    def _update_reading(self) -> None:
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        # one more than the limit is read, so that the peer is told and not just stalled
+        # one request beyond the limit is read, so that the peer gets a 429 instead of a stall
         if self._paused:
             transport.pause_reading()
         elif not transport.is_reading():
             transport.resume_reading()
 
     # ---- End ----------------------------------------------------------------------------------------------
-    def _refuse(self, status: int, title: str) -> None:
-        """Answer what could not be read, after what was asked before it, and close."""
+    def _reject(self, status: int, title: str) -> None:
+        """Respond to an invalid request, after the responses to earlier ones, and close."""
         self._closing = True
         self.server.rejected_requests += 1
         if self.transport is not None and not self.exchanges:
@@ -369,42 +373,44 @@
         self._closing = True
         if self.transport is not None:
             self.transport.close()
-        self._arm(1000.0)  # a peer that does not read its last answer is cut off then
+        self._set_deadline(1000.0)  # a peer that has not read its last response by then is disconnected
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def _leave_exchanges(self) -> None:
-        left, self.exchanges = list(self.exchanges), deque()
-        for exchange in left:
+    def _disconnect_exchanges(self) -> None:
+        pending, self.exchanges = list(self.exchanges), deque()
+        for exchange in pending:
             exchange._connection = None
             if not exchange.done and exchange.on_disconnect is not None:
                 exchange.on_disconnect()
 
-    def _arm(self, delay_ms: float) -> None:
-        """Set the connection's one deadline; the timer is moved only when it comes due early."""
+    def _set_deadline(self, delay_ms: float) -> None:
+        """Set the connection's deadline. The timer is replaced only if it is later than the deadline."""
         self._deadline = self.server.loop.time() + delay_ms / 1000
         if self._timer is None:
-            self._timer = self.server.loop.call_at(self._deadline, self._due)
+            self._timer = self.server.loop.call_at(self._deadline, self._deadline_reached)
         elif self._timer.when() > self._deadline + 0.001:
             self._timer.cancel()
-            self._timer = self.server.loop.call_at(self._deadline, self._due)
+            self._timer = self.server.loop.call_at(self._deadline, self._deadline_reached)
 
-    def _due(self) -> None:
+    def _deadline_reached(self) -> None:
         self._timer = None
         if self.state is _State.CLOSED:
             return
         if self.server.loop.time() < self._deadline - 0.001:
-            self._timer = self.server.loop.call_at(self._deadline, self._due)
+            self._timer = self.server.loop.call_at(self._deadline, self._deadline_reached)
         elif self._closing:
             self.abort()
         elif self.state is _State.IDLE and not self.exchanges:
             self._close()
         elif self.state is _State.IDLE:
-            self._arm(self.server.limits.idle_time_ms)  # an answer is owed: its own deadline bounds it
+            self._set_deadline(
+                self.server.limits.idle_time_ms
+            )  # a response is pending: its own deadline limits it
         else:
-            self._refuse(408, "request not complete in time")
+            self._reject(408, "request not complete in time")
 
     @property
     def idle(self) -> bool:
@@ -415,14 +421,14 @@
             self._close()
 
 
-class _Refused(Exception):
+class _RejectedError(Exception):
     def __init__(self, status: int, title: str) -> None:
         super().__init__(title)
         self.status, self.title = status, title
 
 
 class Server:
-    """Listens, hands each request to `handler`, and stops in order."""
+    """Listens, passes each request to `handler`, and stops gracefully."""
 
     def __init__(
         self,
@@ -435,54 +441,56 @@
         """`cors`: allowed origins; answers OPTIONS if given. `extra_headers`: sent with every response."""
         self.loop, self.handler, self.limits = loop, handler, limits
         self.cors, self._extra_headers = cors, extra_headers
-        # where any origin is let in, the same for every request
-        same = cors is None or cors.allows_any
-        self._common_headers = extra_headers + (() if cors is None else cors.headers({})) if same else None
-        # a whole answer to a whole request whose bytes are known, without reading it again
+        # None if the headers depend on the request's origin
+        is_constant = cors is None or cors.allows_any
+        self._common_headers = (
+            extra_headers + (() if cors is None else cors.headers({})) if is_constant else None
+        )
+        # the encoded response to a request with exactly these bytes, which is then not parsed; None: parse it
         self.cached_response: Callable[[bytes], bytes | None] = lambda data: None
         self.connections: set[_Connection] = set()
         self.stopping = False
         self.rejected_connections = self.rejected_requests = 0
         self._server: asyncio.Server | None = None
-        self._empty: asyncio.Event = asyncio.Event()
+        self._no_connections: asyncio.Event = asyncio.Event()
 
     async def listen(self, host: str, port: int) -> int:
-        """Bind and accept; gives back the port. Raises OSError."""
+        """Listen and return the port. Raises OSError."""
         self._server = await self.loop.create_server(lambda: _Connection(self), host, port, backlog=1024)
         return cast(int, self._server.sockets[0].getsockname()[1])
 
     async def stop(self, grace_ms: float) -> None:
-        """Accept nothing new, let what is owed be answered for `grace_ms` at most, then cut off."""
+        """Accept nothing new, wait up to `grace_ms` for pending responses, then abort."""
         self.stopping = True
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.stop()
-        self._empty.clear()
+        self._no_connections.clear()
         if self.connections:
             try:
-                await asyncio.wait_for(self._empty.wait(), grace_ms / 1000)
+                await asyncio.wait_for(self._no_connections.wait(), grace_ms / 1000)
             except TimeoutError:
                 for connection in list(self.connections):
                     connection.abort()
         await asyncio.sleep(0)
 
     def common_headers_for(self, request: Request) -> Headers:
-        """What every answer to this request carries."""
+        """The headers of every response to this request."""
         if self._common_headers is not None or self.cors is None:
             return self._common_headers or ()
         return self._extra_headers + self.cors.headers(request.headers)
 
     def add(self, connection: _Connection) -> bool:
-        """Admit a connection; False where the limit is reached."""
+        """Admit a connection; False if the limit is reached."""
         if len(self.connections) >= self.limits.max_connections:
             self.rejected_connections += 1
             return False
         self.connections.add(connection)
         return True
 
-    def drop(self, connection: _Connection) -> None:
-        """A connection is closed."""
+    def remove(self, connection: _Connection) -> None:
+        """Remove a closed connection."""
         self.connections.discard(connection)
         if not self.connections:
-            self._empty.set()
+            self._no_connections.set()
--- a/foxlift/store/__init__.py
+++ b/foxlift/store/__init__.py
@@ -1,4 +1,4 @@
-"""What must outlast the process: an append log behind a file port, and the record of paid set-ups."""
+"""Durable storage: a file port, an append-only log in segments, and the log of intents of paid set-ups."""
 
 from foxlift.store.checked_file import decode_checked_file, encode_checked_file
 from foxlift.store.files import DiskFiles, FilePort, SyncFile
--- a/foxlift/store/files.py
+++ b/foxlift/store/files.py
@@ -1,8 +1,8 @@
-"""The port through which the store meets a disk, and the real disk behind it.
+"""The file port of the store, and its implementation on a real disk.
 
-A write that must last is handed over with a callback: the front's loop never waits for a disk. Once a write
-or a sync has failed the file is given up for good: after a failed fsync the kernel may have dropped the very
-pages that a second fsync would then call safe.
+Durable writes take a callback, so that the event loop never waits for the disk. After a failed write or sync
+a file accepts no more writes: after a failed fsync the kernel may have dropped dirty pages, and a second
+fsync would then report them as safe.
 """
 
 from __future__ import annotations
@@ -20,43 +20,45 @@
 
 
 class SyncFile(Protocol):
-    """A file that is only ever appended to."""
+    """An append-only file."""
 
     def write_sync(self, data: bytes, done: WriteCallback) -> None:
-        """Append and make durable; `done(None)` once it lasts, `done(error)` where it may not."""
+        """Append and sync; `done(None)` once the data is durable, `done(error)` if it may not be."""
 
     def close(self) -> None:
-        """Let go of it; writes that are under way still end."""
+        """Close the file; writes that are under way still complete."""
 
 
 class FilePort(Protocol):
-    """The few operations on files that the store needs. All but `write_sync` and `replace_async` wait: for
-    start and stop."""
+    """The file operations that the store needs. All except `write_sync` and `replace_async` block: they are
+    for start and stop."""
 
     def read(self, name: str) -> bytes | None:
-        """The whole file, None where there is none. Raises OSError."""
+        """The content of a file, None if it does not exist. Raises OSError."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a whole file in place so that either the old or the new one is there after power loss."""
+        """Replace a file atomically: after a power loss either the old or the new content is there."""
 
     def replace_async(self, name: str, data: bytes, done: WriteCallback) -> None:
-        """The same without waiting; `done` as with `write_sync`."""
+        """The same without blocking; `done` as with `write_sync`."""
 
     def open_append(self, name: str) -> SyncFile:
-        """A file for appending; it may be made by its first write only."""
+        """Open a file for appending; it may be created only by its first write."""
 
     def names(self) -> list[str]:
-        """Names of all files."""
+        """The names of all files."""
 
     def remove(self, name: str) -> None:
-        """Take a file away, if it is there."""
+        """Remove a file if it exists."""
 
     def lock(self) -> None:
-        """Keep every other opener out until this one is closed or dies. Raises OSError where one is in."""
+        """Lock the folder until this port is closed or its process ends. Raises OSError if it is locked
+        already."""
 
 
 class DiskFiles:
-    """Files of one folder on a real disk; syncs run on one thread, in the order in which they were asked."""
+    """Files of one folder on a real disk. Asynchronous writes run on one thread, in the order of their
+    calls."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -72,23 +74,23 @@
 
     def replace(self, name: str, data: bytes) -> None:
         path = self.folder / name
-        draft = path.with_name(path.name + ".new")
-        with open(draft, "wb") as file:
+        new_path = path.with_name(path.name + ".new")
+        with open(new_path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(draft, path)
+        os.replace(new_path, path)
         self._sync_folder()
 
     def replace_async(self, name: str, data: bytes, done: WriteCallback) -> None:
-        def work() -> OSError | None:
+        def write() -> OSError | None:
             try:
                 self.replace(name, data)
             except OSError as error:
                 return error
             return None
 
-        future = self.loop.run_in_executor(self.executor, work)
+        future = self.loop.run_in_executor(self.executor, write)
         future.add_done_callback(lambda f: done(f.result()))
 
     def open_append(self, name: str) -> SyncFile:
@@ -111,7 +113,7 @@
         self._lock = descriptor
 
     def close(self) -> None:
-        """Wait for what is under way, end the thread, let others in."""
+        """Wait for writes that are under way, end the thread and release the lock."""
         self.executor.shutdown(wait=True)
         if self._lock is not None:
             os.close(self._lock)
@@ -128,7 +130,7 @@
 class _DiskFile:
     def __init__(self, path: Path, files: DiskFiles) -> None:
         self._path, self._files = path, files
-        self._descriptor: int | None = None  # opened on the disk's thread, never on the loop
+        self._descriptor: int | None = None  # opened on the disk thread, never on the event loop
         self._failed: OSError | None = None
 
     def write_sync(self, data: bytes, done: WriteCallback) -> None:
@@ -148,9 +150,9 @@
 
     def _open(self) -> int:
         if self._descriptor is None:
-            new = not self._path.exists()
+            is_new = not self._path.exists()
             self._descriptor = os.open(self._path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
-            if new:
+            if is_new:
                 self._files._sync_folder()
         return self._descriptor
 
--- a/foxlift/store/intents.py
+++ b/foxlift/store/intents.py
@@ -1,9 +1,9 @@
-"""The record of paid set-ups: an intent is durable before its set-up leaves the director.
+"""The log of paid set-ups: an intent is durable before its set-up is sent.
 
-After a kill, an intent without outcome means that the set-up may have run: that token is never set up again.
-Outcomes are written with the next group and need not last: losing one only makes a token more careful.
-Records are JSON, one an entry: `{"k": "i", "t": token id, "x": expiry (Unix s), "b": box, "s": set-up id}`
-and `{"k": "o", "t": token id, "v": outcome}`.
+After a crash, an intent without an outcome means that the set-up may have run: its token is never set up
+again. Outcomes are written with the next group and need not be durable: if one is lost, its token counts as
+one that may have run. Records are JSON, one in each frame: `{"k": "i", "t": token id, "x": expiry (Unix s),
+"b": box, "s": set-up id}` and `{"k": "o", "t": token id, "v": outcome}`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class IntentOutcome(Enum):
-    """What became of an intent."""
+    """The outcome of a recorded set-up."""
 
     NEVER_RAN = "never"
     MAY_HAVE_RUN = "may"
@@ -32,7 +32,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """A paid set-up about to be sent. `expires`: when its token can start nothing any more, Unix seconds."""
+    """A paid set-up that is about to be sent. `expires`: when its token can no longer start a session, Unix
+    s."""
 
     token: str
     expires: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredIntent:
-    """A token as the record shows it after a restart."""
+    """An intent and its outcome, as read from the log after a restart."""
 
     token: str
     expires: int
@@ -67,16 +68,16 @@
 
 
 class IntentLog:
-    """Writes intents in groups: while one sync runs, what comes gathers for the next.
+    """The log of intents, written in groups: see `GroupWriter`.
 
     Once the disk has failed, every later intent fails at once: no paid set-up leaves without its record.
     """
 
     def __init__(self, files: FilePort, keep_from: float) -> None:
-        """Reads the record and writes it anew without what expired by `keep_from` (Unix s).
+        """Reads the log and rewrites it without the intents that expired up to `keep_from` (Unix s).
 
-        Expired intents are kept until the ledger has them for certain: a director that was down past a
-        token's expiry still owes its attempt. Raises OSError and LogError.
+        Expired intents stay until the ledger certainly has them: a director that was down past the expiry of
+        a token must still charge its attempt. Raises OSError and LogError.
         """
         self._files = files
         self.recovered = self._load(keep_from)
@@ -86,7 +87,7 @@
 
     @property
     def failed(self) -> OSError | None:
-        """What the disk failed with, for good."""
+        """The disk error after which nothing more is written, None if there was none."""
         return self._writer.failed
 
     def _load(self, keep_from: float) -> dict[str, RecoveredIntent]:
@@ -110,7 +111,7 @@
         return {t: k for t, k in spent.items() if k.expires > keep_from}
 
     def _rewrite(self) -> None:
-        """Start a log that holds only what still matters: it is bounded by tokens that have not expired."""
+        """Write a new log of the recovered intents only, so that its size is bounded by unexpired tokens."""
         data = encode_header()
         for known in self.recovered.values():
             data += self._frame(
@@ -127,21 +128,21 @@
         return encode_frame(self._sequence, msgspec.json.encode(record))
 
     def record_intent(self, intent: Intent, done: Callable[[OSError | None], None]) -> None:
-        """Record an intent; `done(None)` once it is durable. Never called from inside `record_intent`."""
+        """Record an intent; `done(None)` once it is durable, `done(error)` if it may not be."""
         record = _Record(
             "i", intent.token, intent.expires, intent.box, intent.set_up, n=intent.tenant, c=intent.klass
         )
         self._writer.append(self._frame(record), done)
 
     def record_outcome(self, token: str, outcome: IntentOutcome) -> None:
-        """Record what became of it, with the next group."""
+        """Record the outcome of a token's intent with the next group."""
         self._writer.append(self._frame(_Record("o", token, v=outcome.value)))
 
     @property
     def flushed(self) -> bool:
-        """Whether nothing waits to be written."""
+        """Whether nothing is waiting to be written."""
         return self._writer.flushed
 
     def close(self) -> None:
-        """Let go of the file; what waits to be written fails: flush before."""
+        """Close the file. Records that are not yet written fail: wait for `flushed` first."""
         self._writer.close()
--- a/foxlift/store/log.py
+++ b/foxlift/store/log.py
@@ -17,13 +17,13 @@
 
 MAGIC = b"FOXLLOG1"
 VERSION = 1
-MAX_PAYLOAD = 1 << 20
+MAX_PAYLOAD_BYTES = 1 << 20
 _HEADER = struct.Struct("<8sII")
 _FRAME = struct.Struct("<IQI")
 
 
 class LogError(ValueError):
-    """A log that cannot be trusted: what is wrong, and at which offset."""
+    """A damaged log: names the file, the offset and the cause."""
 
 
 def _crc(data: bytes) -> int:
@@ -37,9 +37,9 @@
 
 
 def encode_frame(sequence: int, payload: bytes) -> bytes:
-    """One record. Raises LogError for a payload over MAX_PAYLOAD."""
-    if len(payload) > MAX_PAYLOAD:
-        raise LogError(f"a record of {len(payload)} bytes; {MAX_PAYLOAD} are allowed")
+    """One record. Raises LogError for a payload over MAX_PAYLOAD_BYTES."""
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise LogError(f"record too large: {len(payload)} bytes, at most {MAX_PAYLOAD_BYTES}")
     start = struct.pack("<IQ", len(payload), sequence)
     return start + struct.pack("<I", _crc(start + payload)) + payload
 
@@ -57,7 +57,7 @@
     def __post_init__(self) -> None:
         data = self.data
         if len(data) < _HEADER.size:
-            # the header is written and synced before the first record: a shorter file holds none
+            # the header is synced before the first record: a shorter file has no records
             if not encode_header().startswith(data):
                 raise LogError(f"{self.name}: offset 0: not a log of this program")
             return
@@ -74,7 +74,7 @@
 
     @property
     def torn_bytes(self) -> int:
-        """How many bytes at the end are no whole record."""
+        """The number of bytes after the last whole frame."""
         return len(self.data) - self.valid_bytes
 
     def _frame_end(self, at: int, sequence: int) -> int | None:
@@ -82,13 +82,13 @@
             return None
         length, found, crc = _FRAME.unpack_from(self.data, at)
         end = at + _FRAME.size + length
-        if length > MAX_PAYLOAD or end > len(self.data) or found != sequence:
+        if length > MAX_PAYLOAD_BYTES or end > len(self.data) or found != sequence:
             return None
         body = self.data[at : at + 12] + self.data[at + _FRAME.size : end]
         return end if _crc(body) == crc else None
 
     def _check_tail(self) -> None:
-        """A whole later frame behind the damage: acknowledged records are lost, and that is said."""
+        """Raises LogError if a whole frame follows the damage: acknowledged records are lost then."""
         tail = self.data[self.valid_bytes :]
         for ahead in range(1, 65):
             needle = struct.pack("<Q", self.last_sequence + 1 + ahead)
@@ -99,6 +99,6 @@
                     and self._frame_end(self.valid_bytes + at - 4, self.last_sequence + 1 + ahead) is not None
                 ):
                     raise LogError(
-                        f"{self.name}: offset {self.valid_bytes}: a damaged record with whole ones behind it"
+                        f"{self.name}: offset {self.valid_bytes}: a damaged record with whole ones after it"
                     )
                 at = tail.find(needle, at + 1)
--- a/foxlift/store/segments.py
+++ b/foxlift/store/segments.py
@@ -47,14 +47,14 @@
 def read_log(files: FilePort, name: str, after: int = 0) -> Iterator[LogEntry]:
     """Every whole record with a sequence number above `after`, oldest first.
 
-    Raises LogError where a segment is missing, damaged before its end, or cut short with others behind it.
+    Raises LogError if a segment is missing, damaged before its end, or truncated with others after it.
     """
     segments = _segments(files, name)
     for k, (first, file) in enumerate(segments):
         last_segment = k + 1 == len(segments)
         if not last_segment and segments[k + 1][0] <= after + 1:
             continue
-        reader = _read(files, file, first)
+        reader = _read_segment(files, file, first)
         if not last_segment and (reader.torn_bytes or reader.last_sequence + 1 != segments[k + 1][0]):
             raise LogError(
                 f"{file}: ends at record {reader.last_sequence}; {segments[k + 1][1]} does not follow it"
@@ -64,30 +64,30 @@
                 yield LogEntry(number, payload)
 
 
-def _read(files: FilePort, file: str, first: int) -> LogReader:
+def _read_segment(files: FilePort, file: str, first: int) -> LogReader:
     data = files.read(file)
     if data is None:
-        raise LogError(f"{file}: gone while it was read")
+        raise LogError(f"{file}: removed while the log was read")
     return LogReader(file, data, last_sequence=first - 1)
 
 
 class SegmentedLog:
-    """The writing side."""
+    """The writer of a segmented log."""
 
     def __init__(self, files: FilePort, name: str, segment_bytes: int = SEGMENT_BYTES) -> None:
-        """Opens the log, cuts a torn tail off and gives up what is in it. Raises OSError and LogError."""
-        self._files, self._name, self._limit = files, name, segment_bytes
+        """Opens the log; cuts off a torn tail, whose records are dropped. Raises OSError and LogError."""
+        self._files, self._name, self._segment_bytes = files, name, segment_bytes
         self.truncated_bytes = 0
         self.failed: OSError | None = None
-        self._gathering: list[bytes] = []
-        self._waiting: list[AppendCallback] = []
+        self._batch: list[bytes] = []
+        self._callbacks: list[AppendCallback] = []
         self._writing = self._closed = False
         segments = _segments(files, name)
         self.last_sequence = self._size = 0
         self._file: SyncFile | None = None
         if segments:
             first, file = segments[-1]
-            reader = _read(files, file, first)
+            reader = _read_segment(files, file, first)
             self.truncated_bytes = reader.torn_bytes
             if reader.torn_bytes or not reader.valid_bytes:
                 files.replace(file, reader.data[: reader.valid_bytes] or encode_header())
@@ -99,57 +99,57 @@
         self.durable = self.last_sequence
 
     def append(self, payload: bytes, done: AppendCallback | None = None) -> int:
-        """Append a record; gives back its sequence number, and calls `done` once it lasts or cannot.
+        """Append a record and return its sequence number; `done` is called once it is durable or has failed.
 
         Raises LogError for a payload that is too large; nothing is appended then.
         """
         frame = encode_frame(self.last_sequence + 1, payload)
         self.last_sequence += 1
-        self._gathering.append(frame)
+        self._batch.append(frame)
         if done is not None:
-            self._waiting.append(done)
+            self._callbacks.append(done)
         self._write()
         return self.last_sequence
 
     def _write(self) -> None:
-        if self._writing or not self._gathering:
+        if self._writing or not self._batch:
             return
-        data = b"".join(self._gathering)
-        waiting, upto, count = self._waiting, self.last_sequence, len(self._gathering)
-        self._gathering, self._waiting = [], []
+        data = b"".join(self._batch)
+        callbacks, last_sequence, count = self._callbacks, self.last_sequence, len(self._batch)
+        self._batch, self._callbacks = [], []
         if self._closed and self.failed is None:
             self.failed = OSError(errno.EBADF, "the log is closed")
         if self.failed is not None:
-            for done in waiting:
+            for done in callbacks:
                 done(self.failed)
             return
         self._writing = True
-        if self._file is None or self._size >= self._limit:
+        if self._file is None or self._size >= self._segment_bytes:
             if self._file is not None:
                 self._file.close()
-            # opened by its first write, off the loop; a header that is torn there holds no record yet
-            self._file = self._files.open_append(segment_name(self._name, upto - count + 1))
+            # created by its first write, off the event loop; a header torn by it precedes no record
+            self._file = self._files.open_append(segment_name(self._name, last_sequence - count + 1))
             data, self._size = encode_header() + data, 0
         self._size += len(data)
-        self._file.write_sync(data, lambda error: self._written(error, waiting, upto))
+        self._file.write_sync(data, lambda error: self._written(error, callbacks, last_sequence))
 
-    def _written(self, error: OSError | None, waiting: list[AppendCallback], upto: int) -> None:
+    def _written(self, error: OSError | None, callbacks: list[AppendCallback], last_sequence: int) -> None:
         self._writing = False
         if error is None:
-            self.durable = upto
+            self.durable = last_sequence
         else:
             self.failed = self.failed or error
-        for done in waiting:
+        for done in callbacks:
             done(error)
         self._write()
 
     @property
     def flushed(self) -> bool:
-        """Whether all that was appended lasts, or cannot any more."""
+        """Whether every appended record is durable or has failed."""
         return self.durable == self.last_sequence or self.failed is not None
 
     def close(self) -> None:
-        """Let go of the file; what is under way still ends, what waits for it fails: flush before."""
+        """Close the file. A write that is under way completes, later ones fail: wait for `flushed` first."""
         self._closed = True
         if self._file is not None:
             self._file.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -62,7 +62,7 @@
 
     with pytest.raises(LogError, match="newer program"):
         LogReader("log", newer + int(google_crc32c.value(newer)).to_bytes(4, "little"))
-    with pytest.raises(LogError, match="are allowed"):
+    with pytest.raises(LogError, match=r"record too large: 2097152 bytes, at most 1048576"):
         encode_frame(1, b"y" * (1 << 21))
 
 
