--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -192,7 +192,7 @@
         }
         self._context.log.info("plan", number=plan.number, zones=states)
         shares = shares_of(plan, self._config.zone, self._config.fleet.zones)
-        self._network.feed(events.PlanInForce(shares))
+        self._network.feed(events.ZonePlanChanged(shares))
 
 
 def shares_of(plan: Plan, home: str, zones: tuple[str, ...]) -> tuple[float, ...]:
