--- a/bench/scale/load_memory.py
+++ b/bench/scale/load_memory.py
@@ -84,7 +84,7 @@
     held = token_sessions.TokenSessions()
     for number in range(1, count + 1):
         held.handle(0.0, token_sessions.Requested(number, f"token-{number:016x}", True, EXPIRES, False))
-        held.handle(0.0, token_sessions.Started(number))
+        held.handle(0.0, token_sessions.SessionStarted(number))
     return held
 
 
--- a/foxlift/decide/attempts.py
+++ b/foxlift/decide/attempts.py
@@ -112,14 +112,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelSession:
     """Nobody wants the session any more: the viewer left, or the module cancelled or moved it."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class SetRung:
+class RungChanged:
     """The module's SetRung."""
 
     session: int
@@ -217,8 +217,8 @@
     | IntentFailed
     | Answered
     | CallFailed
-    | Cancel
-    | SetRung
+    | CancelSession
+    | RungChanged
     | EndedAtBox
     | Resume
     | ReleaseUnwanted
@@ -242,7 +242,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendSetUp:
+class StartSetUp:
     """Send the set-up to the box; it times out at `until`."""
 
     session: int
@@ -306,7 +306,7 @@
     set_up: str = ""
 
 
-Action = WriteIntent | SendSetUp | AbortSetUp | SendRung | Release | ReportStarted | ReportEnded
+Action = WriteIntent | StartSetUp | AbortSetUp | SendRung | Release | ReportStarted | ReportEnded
 
 
 @dataclass(slots=True)
@@ -360,9 +360,9 @@
             case PrefixChanged(prefix):
                 self._renewed(prefix)
                 return []
-            case Cancel(session):
+            case CancelSession(session):
                 return self._call_off(session)
-            case SetRung():
+            case RungChanged():
                 return self._set_rung(event)
             case Released(set_up):
                 self._ghosts.pop(set_up, None)
@@ -458,7 +458,7 @@
         if state is _State.INTENT:
             return [WriteIntent(event.session, event.attempt, event.node)]
         made.sent_rung = event.rung
-        return [SendSetUp(event.session, event.attempt, event.node, event.rung, event.timeout_at)]
+        return [StartSetUp(event.session, event.attempt, event.node, event.rung, event.timeout_at)]
 
     def _resumes(self, event: Resume) -> None:
         if event.session in self._live:
@@ -485,7 +485,7 @@
         if found.node in self._closed or now >= found.timeout_at or not found.wanted:
             return self._end(found, fl.Outcome.NEVER_SENT)
         found.state, found.sent_rung = _State.SENT, found.rung
-        return [SendSetUp(found.session, found.attempt, found.node, found.rung, found.timeout_at)]
+        return [StartSetUp(found.session, found.attempt, found.node, found.rung, found.timeout_at)]
 
     def _answered(self, found: _Attempt, event: Answered) -> list[Action]:
         if found.state is not _State.SENT:
@@ -535,7 +535,7 @@
             return [AbortSetUp(found.session, found.attempt)]
         return self._end(found, fl.Outcome.CANCELLED, ghost=True)
 
-    def _set_rung(self, event: SetRung) -> list[Action]:
+    def _set_rung(self, event: RungChanged) -> list[Action]:
         found = self._live.get(event.session)
         if found is None or found.rung == event.rung:
             return []
--- a/foxlift/decide/driver.py
+++ b/foxlift/decide/driver.py
@@ -94,14 +94,14 @@
     def _deliver(self, now: float, event: fl.Event) -> None:
         before, failed = self.module.actions, False
         try:
-            actions = self.module.handle(now, event)
+            decided = self.module.handle(now, event)
         except Exception as error:
             failed = True
             self._say(type(event).__name__, error)
-            actions = [] if self.module.actions is before else self.module.actions
+            decided = [] if self.module.actions is before else self.module.actions
         if self._trace is not None:
-            self._trace(now, event, actions)
-        for action in actions:
+            self._trace(now, event, decided)
+        for action in decided:
             self._do(action)
         if failed:
             self._settle(event)
--- a/foxlift/decide/links.py
+++ b/foxlift/decide/links.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBroken:
+class Disconnected:
     """The stream ended, could not be opened, or could not be read."""
 
 
@@ -59,7 +59,7 @@
     generation: int
 
 
-Event = StreamNeeded | StreamUnneeded | HelloReceived | StreamBroken | RetryDue | LossTimeout
+Event = StreamNeeded | StreamUnneeded | HelloReceived | Disconnected | RetryDue | LossTimeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
                 return self._unwanted()
             case HelloReceived():
                 return self._greeted()
-            case StreamBroken():
+            case Disconnected():
                 return self._broken()
             case RetryDue(generation):
                 if self._state is _State.BROKEN and generation == self._generation:
--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class SessionStarted:
     """The session's set-up is done."""
 
     session: int
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class SessionEnded:
     """Nothing of the session is out or playing any more. `ran`: False only where that is proved."""
 
     session: int
@@ -181,10 +181,10 @@
 Event = (
     Requested
     | ClientDisconnected
-    | Started
+    | SessionStarted
     | Refused
     | Failed
-    | Ended
+    | SessionEnded
     | Parked
     | ParkedSetUpGone
     | Restored
@@ -213,7 +213,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerRefused:
+class SendRefusal:
     """Answer that the session is refused."""
 
     request: int
@@ -221,7 +221,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFailed:
+class SendFailure:
     """Answer that the session failed."""
 
     request: int
@@ -273,8 +273,8 @@
 Action = (
     OpenSession
     | SendManifest
-    | AnswerRefused
-    | AnswerFailed
+    | SendRefusal
+    | SendFailure
     | Reject
     | Withdraw
     | Forward
@@ -332,7 +332,7 @@
         if claim is None:
             return []
         match event:
-            case Started():
+            case SessionStarted():
                 return self._plays(claim)
             case Refused():
                 return self._refused(claim)
@@ -345,7 +345,7 @@
                 return self._lapsed(claim)
             case OwnedElsewhere():
                 return self._elsewhere(claim)
-            case Ended():
+            case SessionEnded():
                 self._over(claim, event.ran)
         return []
 
@@ -437,7 +437,7 @@
 
     def _refused(self, claim: _Claim) -> list[Action]:
         if claim.state is _State.ASKED:
-            answers: list[Action] = [AnswerRefused(r, claim.session) for r in self._release(claim)]
+            answers: list[Action] = [SendRefusal(r, claim.session) for r in self._release(claim)]
             if claim.parked_until:
                 self._park(claim, claim.parked_until)
             else:
@@ -448,7 +448,7 @@
     def _failed(self, claim: _Claim) -> list[Action]:
         if claim.state is not _State.ASKED:
             return []
-        answers: list[Action] = [AnswerFailed(r, claim.session) for r in self._release(claim)]
+        answers: list[Action] = [SendFailure(r, claim.session) for r in self._release(claim)]
         if claim.parked_until:
             self._park(claim, claim.parked_until)
         else:
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -126,7 +126,7 @@
             case ev.PlaceGone(number):
                 self._place_gone(number)
             case ev.StreamBroken(node):
-                self._link(node, ln.StreamBroken())
+                self._link(node, ln.Disconnected())
             case ev.LinkTimer(node, timer):
                 self._link(node, timer)
             case ev.TimerDue(token):
@@ -235,7 +235,7 @@
                     self._open(session, self._asked[request], place)
                 case ts.SendManifest(request, session):
                     self._out.append(ev.ShowManifest(request, self.sessions[session]))
-                case ts.AnswerFailed(request, session):
+                case ts.SendFailure(request, session):
                     self._out.append(ev.AnswerFailed(request, session))
                 case ts.Reject(request, why):
                     self._out.append(ev.AnswerDown(request, why))
@@ -243,7 +243,7 @@
                     self._withdraw(session)
                 case ts.QueryOwner(request):
                     self._out.append(ev.AskAbout(request, self._token_of(request)))
-                case ts.AnswerRefused() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
+                case ts.SendRefusal() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
                     raise AssertionError("told by whoever asked for it")
 
     def _open(self, number: int, asked: ev.ManifestAsked, place: ts.ParkedLocation | None) -> None:
@@ -294,7 +294,7 @@
         session = self.sessions[number]
         session.withdrawn = True
         self._tell(fl.Withdrawn(number))
-        self._attempt(at.Cancel(number))
+        self._attempt(at.CancelSession(number))
         if number in self.sessions and not self.attempts.has_attempt(number):
             self._over(session, ran=False)
 
@@ -411,7 +411,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.SetRung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp():
                 self._set_up(action)
             case fl.Refuse(number, come_back_ms):
@@ -423,7 +423,7 @@
             case fl.SetTimer(delay_ms, token):
                 self._out.append(ev.StartTimer(delay_ms, ev.TimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
-                self._attempt(at.Cancel(number))
+                self._attempt(at.CancelSession(number))
             case fl.Log(text):
                 self._out.append(ev.Say("module", detail=text))
             case fl.WatchList() | fl.FetchList():
@@ -455,7 +455,7 @@
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._turned_away(number, "refused")
         for answer in self.token_sessions.handle(self._now / 1000, ts.Refused(number)):
-            if isinstance(answer, ts.AnswerRefused):
+            if isinstance(answer, ts.SendRefusal):
                 self._out.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
@@ -469,7 +469,7 @@
         self.sessions.pop(session.number, None)
         session.over = True
         self._out.append(ev.SessionOver(session))
-        self._claim(ts.Ended(session.number, ran))
+        self._claim(ts.SessionEnded(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
@@ -490,7 +490,7 @@
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
                     self._out.append(ev.KeepIntent(number, attempt, session.token, box, set_up, node))
-                case at.SendSetUp():
+                case at.StartSetUp():
                     self._put(action)
                 case at.SendRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
@@ -503,7 +503,7 @@
                 case at.AbortSetUp() | at.Release():
                     self._out.append(action)
 
-    def _put(self, put: at.SendSetUp) -> None:
+    def _put(self, put: at.StartSetUp) -> None:
         session = self.sessions[put.session]
         self._out.append(
             ev.PutSetUp(
@@ -533,7 +533,7 @@
             ):
                 if value is not None:
                     self._tell(fl.Note(told.session, told.node, kind, value))
-        self._claim(ts.Started(told.session))
+        self._claim(ts.SessionStarted(told.session))
 
     def _opened(self, session: ev.Session, when: int, set_up: str) -> lg.Started:
         token = session.token
--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -334,7 +334,7 @@
     def _end_standing(self, session: _Session, cause: int) -> None:
         """Its viewer wants no more: the box is told why, and the viewer is owed nothing."""
         session.farewell = rtsp.release(session.tag, cause)
-        self._attempt(at.Cancel(session.number))
+        self._attempt(at.CancelSession(session.number))
 
     def _withdraw(self, session: _Session) -> None:
         """The viewer waits no longer."""
@@ -343,7 +343,7 @@
         self._out.append(ev.ViewerSessions(session.conn, -1))
         del self._by_tag[session.tag]
         self._tell(fl.Withdrawn(session.number))
-        self._attempt(at.Cancel(session.number))
+        self._attempt(at.CancelSession(session.number))
         if not self.attempts.has_attempt(session.number):
             self.sessions.pop(session.number, None)
 
@@ -395,7 +395,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.SetRung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp(number, node, within_ms):
                 session = self.sessions[number]
                 session.node, session.box_conn = node, 0
@@ -410,13 +410,13 @@
             case fl.SetTimer(delay_ms, token):
                 self._out.append(ev.StartTimer(delay_ms, fl.Wake(token)))
             case fl.Cancel(number):
-                self._attempt(at.Cancel(number))
+                self._attempt(at.CancelSession(number))
             case fl.Move(number):
                 session = self.sessions.get(number)
                 if session is not None and session.state is _State.STANDS:
                     session.farewell = rtsp.move(session.tag)
                     self._over(session.conn, session.tag, viewers.move(session.tag))
-                    self._attempt(at.Cancel(number))
+                    self._attempt(at.CancelSession(number))
             case fl.Log(text):
                 self._out.append(ev.Say("module", text))
             case fl.WatchList() | fl.FetchList():
@@ -437,7 +437,7 @@
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
             match action:
-                case at.SendSetUp(number, attempt, node, _, until):
+                case at.StartSetUp(number, attempt, node, _, until):
                     self._out.append(ev.SendSetUp(number, node))
                     delay = max(until - self._now, 0.0)
                     self._out.append(ev.StartTimer(delay, ev.AttemptDue(number, attempt)))
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -24,7 +24,7 @@
     claims = ts.TokenSessions()
     assert ask(claims, 1) == [ts.OpenSession(1, 1)]
     assert ask(claims, 2) == []
-    assert claims.handle(0.0, ts.Started(1)) == [ts.SendManifest(1, 1), ts.SendManifest(2, 1)]
+    assert claims.handle(0.0, ts.SessionStarted(1)) == [ts.SendManifest(1, 1), ts.SendManifest(2, 1)]
     assert ask(claims, 3, expired=True) == [ts.SendManifest(3, 1)]
     assert ask(ts.TokenSessions(), 1, expired=True) == [ts.Reject(1, ts.RejectionReason.EXPIRED)]
 
@@ -33,14 +33,14 @@
 def test_what_ended_opens_again_only_if_it_is_free(paid: bool) -> None:
     claims = ts.TokenSessions()
     ask(claims, 1, paid)
-    claims.handle(0.0, ts.Started(1))
-    claims.handle(0.0, ts.Ended(1))
+    claims.handle(0.0, ts.SessionStarted(1))
+    claims.handle(0.0, ts.SessionEnded(1))
     assert ask(claims, 2, paid) == (
         [ts.Reject(2, ts.RejectionReason.SESSION_OVER)] if paid else [ts.OpenSession(2, 2)]
     )
     failed = ts.TokenSessions()
     ask(failed, 1, paid)
-    assert failed.handle(0.0, ts.Failed(1)) == [ts.AnswerFailed(1, 1)]
+    assert failed.handle(0.0, ts.Failed(1)) == [ts.SendFailure(1, 1)]
     assert ask(failed, 2, paid) == (
         [ts.Reject(2, ts.RejectionReason.MAY_HAVE_RUN)] if paid else [ts.OpenSession(2, 2)]
     )
@@ -49,7 +49,7 @@
 def test_a_refusal_leaves_the_token_as_it_was() -> None:
     claims = ts.TokenSessions()
     ask(claims, 1)
-    assert claims.handle(0.0, ts.Refused(1)) == [ts.AnswerRefused(1, 1)]
+    assert claims.handle(0.0, ts.Refused(1)) == [ts.SendRefusal(1, 1)]
     assert ask(claims, 2) == [ts.OpenSession(2, 2)]
 
 
@@ -63,8 +63,8 @@
     assert ask(claims, 3, paid) == [
         ts.Reject(3, ts.RejectionReason.MAY_HAVE_RUN if paid else ts.RejectionReason.CANCELLING)
     ]
-    assert claims.handle(0.0, ts.Started(1)) == []
-    claims.handle(0.0, ts.Ended(1, ran))
+    assert claims.handle(0.0, ts.SessionStarted(1)) == []
+    claims.handle(0.0, ts.SessionEnded(1, ran))
     spent = paid and ran
     assert ask(claims, 4, paid) == (
         [ts.Reject(4, ts.RejectionReason.MAY_HAVE_RUN)] if spent else [ts.OpenSession(2, 4)]
@@ -129,11 +129,11 @@
         self.take(self.claims.handle(0.0, ts.ClientDisconnected(request)))
 
     @precondition(lambda self: self.open)
-    @rule(data=st.data(), how=st.sampled_from([ts.Started, ts.Refused, ts.Failed]))
+    @rule(data=st.data(), how=st.sampled_from([ts.SessionStarted, ts.Refused, ts.Failed]))
     def answered_by_module(self, data: st.DataObject, how: Any) -> None:
         session = data.draw(st.sampled_from(sorted(self.open)))
         token = self.open.pop(session)
-        if how is ts.Started:
+        if how is ts.SessionStarted:
             self.playing[session] = token
         elif how is ts.Failed and token.startswith("paid") and token not in self.adopted_parked:
             self.spent.add(token)
@@ -147,7 +147,7 @@
         token = self.playing.pop(session, None) or self.left.pop(session)
         if ran and token.startswith("paid") and token not in self.adopted_parked:
             self.spent.add(token)
-        self.take(self.claims.handle(0.0, ts.Ended(session, ran)))
+        self.take(self.claims.handle(0.0, ts.SessionEnded(session, ran)))
 
     @invariant()
     def who_waits_waits_on_an_open_session(self) -> None:
@@ -225,7 +225,7 @@
     assert isinstance(opened, ts.OpenSession)
     actions = claims.handle(0.0, ts.Adopt("t", True, 100.0, ts.ParkedLocation(7, "d1.1-1-0", "p")))
     assert actions == [ts.Withdraw(opened.session), ts.Adopted(2), ts.SendManifest(1, 2)]
-    assert claims.handle(0.0, ts.Ended(opened.session, ran=False)) == []
+    assert claims.handle(0.0, ts.SessionEnded(opened.session, ran=False)) == []
     assert claims.playing_session("t") == 2  # the end of the one called off is not the adopted one's
 
 
@@ -258,9 +258,9 @@
 
 def test_a_free_set_up_goes_at_once_and_a_paid_one_after_its_record() -> None:
     free, paid = at.Attempts("d"), at.Attempts("d")
-    assert kinds(free.handle(0.0, SEND)) == [at.SendSetUp]
+    assert kinds(free.handle(0.0, SEND)) == [at.StartSetUp]
     assert kinds(paid.handle(0.0, PAID)) == [at.WriteIntent]
-    assert kinds(paid.handle(1.0, at.IntentDurable(1, 0))) == [at.SendSetUp]
+    assert kinds(paid.handle(1.0, at.IntentDurable(1, 0))) == [at.StartSetUp]
     assert kinds(paid.handle(2.0, DONE)) == [at.ReportStarted]
 
 
@@ -275,7 +275,7 @@
     elif why == "late":
         now = 1000.0
     elif why == "unwanted":
-        assert made.handle(0.0, at.Cancel(1)) == []
+        assert made.handle(0.0, at.CancelSession(1)) == []
     else:
         event = at.IntentFailed(1, 0)
     actions = made.handle(now, event)
@@ -332,7 +332,7 @@
 def test_an_answer_that_meets_its_viewers_leaving_becomes_a_ghost() -> None:
     made = at.Attempts("d")
     made.handle(0.0, SEND)
-    made.handle(0.0, at.Cancel(1))
+    made.handle(0.0, at.CancelSession(1))
     actions = made.handle(1.0, DONE)
     assert kinds(actions) == [at.Release, at.ReportEnded]
     assert outcomes(actions) == [fl.Outcome.CANCELLED]
@@ -341,10 +341,10 @@
 def test_a_rung_set_during_the_set_up_reaches_the_box_after_it() -> None:
     made = at.Attempts("d")
     made.handle(0.0, SEND)
-    assert made.handle(0.0, at.SetRung(1, 1)) == []
+    assert made.handle(0.0, at.RungChanged(1, 1)) == []
     assert made.handle(1.0, DONE)[1] == at.SendRung(1, 0, 7, 1)
-    assert made.handle(2.0, at.SetRung(1, 0)) == [at.SendRung(1, 0, 7, 0)]
-    assert made.handle(2.0, at.SetRung(1, 0)) == []
+    assert made.handle(2.0, at.RungChanged(1, 0)) == [at.SendRung(1, 0, 7, 0)]
+    assert made.handle(2.0, at.RungChanged(1, 0)) == []
 
 
 def test_what_a_box_says_it_holds_is_judged_by_its_process_and_its_counter() -> None:
@@ -386,8 +386,8 @@
     st.builds(
         at.CallFailed, st.integers(1, 3), st.integers(0, 1), st.sampled_from(at.CallFailure), st.booleans()
     ),
-    st.builds(at.Cancel, st.integers(1, 3)),
-    st.builds(at.SetRung, st.integers(1, 3), st.integers(0, 2)),
+    st.builds(at.CancelSession, st.integers(1, 3)),
+    st.builds(at.RungChanged, st.integers(1, 3), st.integers(0, 2)),
     st.builds(
         at.EndedAtBox,
         st.integers(1, 3),
@@ -414,7 +414,7 @@
 
     def take(actions: list[at.Action], durable: bool = False) -> None:
         for action in actions:
-            if isinstance(action, at.SendSetUp):
+            if isinstance(action, at.StartSetUp):
                 assert out[action.session, action.attempt] == "asked"
                 assert not (durable and action.node in closed)
                 out[action.session, action.attempt] = "sent"
@@ -454,16 +454,16 @@
     assert link.handle(ln.StreamNeeded()) == []
     assert link.handle(ln.HelloReceived()) == [ln.CompareSessions()]
     assert link.handle(ln.LossTimeout(1)) == []  # of a silence that is over
-    broken = link.handle(ln.StreamBroken())
+    broken = link.handle(ln.Disconnected())
     assert broken == [ln.StartLossTimer(2000.0, 3), ln.StartRetryTimer(0.0, 3)]
     assert link.handle(ln.RetryDue(3)) == [ln.OpenStream()]
-    assert link.handle(ln.StreamBroken()) == [ln.StartRetryTimer(250.0, 3)]
+    assert link.handle(ln.Disconnected()) == [ln.StartRetryTimer(250.0, 3)]
     assert link.handle(ln.LossTimeout(3)) == [ln.AllSessionsLost(), ln.StartLossTimer(2000.0, 3)]
     assert link.handle(ln.RetryDue(3)) == [ln.OpenStream()]
     assert link.handle(ln.HelloReceived()) == [ln.CompareSessions()]
     assert link.open
     assert link.handle(ln.StreamUnneeded()) == [ln.CloseStream()]
-    assert link.handle(ln.StreamBroken()) == []
+    assert link.handle(ln.Disconnected()) == []
 
 
 @given(st.lists(st.sampled_from(["wanted", "unwanted", "greeted", "broken", "retry", "loss"]), max_size=40))
@@ -482,7 +482,7 @@
             case "greeted":
                 event = ln.HelloReceived()
             case "broken":
-                event = ln.StreamBroken()
+                event = ln.Disconnected()
             case "retry" if waits:
                 event = ln.RetryDue(waits.pop(0).generation)
             case "loss" if awaited:
@@ -511,7 +511,7 @@
         token, now = f"t{k}", float(k)
         (opened,) = made.handle(now, ts.Requested(k, token, True, now + 100.0, False))
         assert isinstance(opened, ts.OpenSession) and opened.place is None
-        made.handle(now, ts.Started(opened.session))
+        made.handle(now, ts.SessionStarted(opened.session))
         made.handle(now, ts.Parked(opened.session, now + 30.0, ts.ParkedLocation(1, f"s{k}", "p")))
         assert len(made) <= 101
     # past its park but not past its token: it must not look like a new one, or it would be set up again
@@ -526,7 +526,7 @@
     made, place = ts.TokenSessions(), ts.ParkedLocation(3, "s1", "p")
     (opened,) = made.handle(0.0, ts.Requested(1, "t", True, 100.0, False))
     assert isinstance(opened, ts.OpenSession)
-    made.handle(0.0, ts.Started(opened.session))
+    made.handle(0.0, ts.SessionStarted(opened.session))
     made.handle(1.0, ts.Parked(opened.session, 50.0, place))
     for end in (ts.Refused, ts.Failed):
         (again,) = made.handle(2.0, ts.Requested(2, "t", True, 100.0, True))  # expired meanwhile
@@ -534,5 +534,5 @@
         assert len(made.handle(2.0, end(again.session))) == 1  # told, and nothing is spent
     (again,) = made.handle(3.0, ts.Requested(3, "t", True, 100.0, False))
     assert isinstance(again, ts.OpenSession) and again.place == place
-    assert made.handle(3.0, ts.Started(again.session)) == [ts.SendManifest(3, again.session)]
+    assert made.handle(3.0, ts.SessionStarted(again.session)) == [ts.SendManifest(3, again.session)]
     assert made.playing_session("t") == again.session
