--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -15,7 +15,7 @@
 
 from msgspec.structs import replace
 
-from foxlift.boxes.takeover import TakeAnswer, TakeOrder
+from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
 from foxlift.config import DirectorConfig, bind, read_forms
 from foxlift.config.settings import PeerConfig
 from foxlift.decide.token_sessions import RejectionReason
@@ -23,7 +23,7 @@
 from foxlift.director.cluster.ports import ForwardableRequest
 from foxlift.director.cluster.service import ClusterService
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Exchange, Failure
+from foxlift.http import Exchange, Failure, Response
 from foxlift.store import DiskFiles
 from foxlift.telemetry import Counters
 from foxlift.zones.evidence import Sight
@@ -123,7 +123,7 @@
         """Never called."""
         raise NotImplementedError
 
-    def relay(self, request: int, answer: Answer) -> None:
+    def relay(self, request: int, answer: Response) -> None:
         """Never called."""
         raise NotImplementedError
 
@@ -139,11 +139,13 @@
         """Never called."""
         raise NotImplementedError
 
-    def adopt(self, box: str, answer: TakeAnswer) -> None:
+    def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Never called."""
         raise NotImplementedError
 
-    def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
+    def send_takeover(
+        self, box: str, order: TakeoverRequest, done: Callable[[Response | Failure], None]
+    ) -> bool:
         """There are no media servers, so there is nothing to take over."""
         return False
 
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -7,11 +7,11 @@
 
 import structlog
 
-from foxlift.boxes import BadNotice, NoticeReader
+from foxlift.boxes import NoticeError, NoticeReader
 from foxlift.director import events
 from foxlift.director.ownership import Ownership
 from foxlift.director.server_pools import ServerPools, Use
-from foxlift.http import Answer, Call, Failure
+from foxlift.http import Call, Failure, Response
 
 
 class NoticeStreams:
@@ -45,7 +45,7 @@
             if not self._read(node, reader, data):
                 call.cancel()
 
-        def ended(result: Answer | Failure) -> None:
+        def ended(result: Response | Failure) -> None:
             self._ownership.is_refused(result)
             if self.open_streams.get(node) is call:
                 del self.open_streams[node]
@@ -76,7 +76,7 @@
         """Hand the notices of these bytes to the core; False where they cannot be read."""
         try:
             notices = reader.feed(data)
-        except BadNotice as error:
+        except NoticeError as error:
             self._log.warning("notices not readable", box=node, detail=str(error))
             return False
         for notice in notices:
