--- a/foxlift/decide/__init__.py
+++ b/foxlift/decide/__init__.py
@@ -1,4 +1,4 @@
-"""What is decided beside the module: claims on tokens, the life of each attempt, the state of links to boxes.
+"""State machines around the module: sessions of tokens, attempts at boxes, links to boxes.
 
-Each is a state machine without I/O: events in, actions out, no clock but the one handed in.
+None of them does I/O: events in, actions out, and the time only as an argument.
 """
--- a/foxlift/decide/attempts.py
+++ b/foxlift/decide/attempts.py
@@ -1,27 +1,31 @@
-"""The life of each attempt at a box, and of what it may leave behind there.
+"""The life of each attempt at a box, and of the orphaned set-up that it may leave there.
 
-    state      event                       next       the module is told; what is done
+    state      event                       next       outcome for the module; what is done
     (none)     Send, paid                  INTENT     write the intent first
-    (none)     Send, free                  SENT       put
-    (none)     Resumes                     PLAYING
-    INTENT     IntentDurable               SENT       put, unless the box drains by now or the time is up
-    INTENT     IntentFailed, CallOff       (none)     NEVER_SENT: nothing has left this director
+    (none)     Send, free                  SENT       send the set-up
+    (none)     Resume                      PLAYING
+    INTENT     IntentDurable               SENT       send it, unless the box now drains or the time is up
+    INTENT     IntentFailed                (none)     NEVER_SENT: nothing has left this director
+    INTENT     CancelSession               INTENT     NEVER_SENT once the intent is durable or has failed
     SENT       Answered 201                PLAYING    Started
-    SENT       Answered otherwise          (none)     FULL where the box says so itself, else ERROR
-    SENT       Lost, never left            (none)     CONNECT_FAILED or NEVER_SENT
-    SENT       Lost, had left              GHOST      RESET, TIMEOUT, ERROR or CANCELLED: it may have run
-    SENT       Drains, never left          (none)     NEVER_SENT: drain heard between choice and send
-    PLAYING    SessionEnded                  (none)     OK, or CANCELLED where the viewer left
+    SENT       Answered 201, cancelled     ORPHAN     CANCELLED
+    SENT       Answered otherwise          (none)     FULL where the box itself says so, else ERROR
+    SENT       CallFailed, nothing sent    (none)     CONNECT_FAILED or NEVER_SENT
+    SENT       CallFailed, bytes sent      ORPHAN     RESET, TIMEOUT, ERROR or CANCELLED: it may have run
+    SENT       BoxDraining, nothing sent   (none)     NEVER_SENT: the drain came between choice and sending
+    SENT       CancelSession               SENT       the call is stopped and ends in CallFailed
+    PLAYING    EndedAtBox                  (none)     OK, or CANCELLED where the viewer left
     PLAYING    BoxLost                     (none)     RESET
-    PLAYING    CallOff                     GHOST      CANCELLED
-    GHOST      Released, box gone          (none)
-    GHOST      ReleaseFailed               GHOST      release again after a while
+    PLAYING    CancelSession               ORPHAN     CANCELLED
+    ORPHAN     Released, EndedAtBox        (none)
+    ORPHAN     BoxDraining, box gone       (none)
+    ORPHAN     ReleaseFailed               ORPHAN     release it again after a delay
 
-Send with a name takes a set-up up again that its box parked: no intent is written, for nothing new is paid
-for, and it leaves no ghost: a lost answer leaves the box with what it may keep, and park again.
+Send with the name of a set-up resumes one that its box parked. No intent is written, because nothing new is
+paid for, and a lost answer leaves no orphan: the box may keep the set-up, and will park it again.
 
-A ghost is a set-up that the box may hold for nobody. It is released until the box says so, has another boot
-id, or is gone from the list: a box must never run what no viewer watches.
+An orphan is a set-up that the box may hold although no viewer wants it. It is released until the box confirms
+that it does not hold it, or the box is gone from the list: a box must never run what no viewer watches.
 """
 
 from __future__ import annotations
@@ -39,7 +43,7 @@
 
 
 class CallFailure(Enum):
-    """How a call to a box ended without an answer."""
+    """Why a call to a box has no usable answer."""
 
     CONNECT = "no connection"
     RESET = "connection lost"
@@ -48,7 +52,7 @@
     CANCELLED = "called off"
 
 
-_LEFT_OUTCOMES = {
+_OUTCOMES_IF_SENT = {
     CallFailure.CONNECT: fl.Outcome.RESET,
     CallFailure.RESET: fl.Outcome.RESET,
     CallFailure.TIMEOUT: fl.Outcome.TIMEOUT,
@@ -60,20 +64,20 @@
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Send:
-    """The module's SetUp. `until` is when the attempt times out, on the module's clock, ms."""
+    """Start an attempt: the module's SetUp. `set_up`: the parked set-up to resume, if any."""
 
     session: int
     attempt: int
     node: int
     rung: int
     paid: bool
-    timeout_at: float
+    timeout_at: float  # ms on the module's clock
     set_up: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class IntentDurable:
-    """The paid set-up's intent lasts."""
+    """The intent of the paid set-up is on stable storage."""
 
     session: int
     attempt: int
@@ -81,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentFailed:
-    """The paid set-up's intent may not last."""
+    """The intent of the paid set-up may not be on stable storage."""
 
     session: int
     attempt: int
@@ -89,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The box answered the set-up. `started`: it runs; else `outcome` says what the answer means."""
+    """The box answered the set-up. It runs if `started`, else `outcome` is what the answer means."""
 
     session: int
     attempt: int
@@ -98,12 +102,12 @@
     counter: int = 0
     boot: str = ""
     load: fl.Load | None = None
-    box_time_ms: int = 0  # Unix ms by the box's clock, 0 where it did not say
+    box_time_ms: int = 0  # Unix ms by the box's clock, 0 if not reported
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The set-up's call has no answer. `left`: any byte of it was handed to a connection."""
+    """The set-up's call has no usable answer. `sent`: at least one byte was written to a connection."""
 
     session: int
     attempt: int
@@ -113,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelSession:
-    """Nobody wants the session any more: the viewer left, or the module cancelled or moved it."""
+    """The session is not wanted any more: its viewer left, or the module cancelled or moved it."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class RungChanged:
-    """The module's SetRung."""
+    """The module's SetRung: the session is to play at this rung."""
 
     session: int
     rung: int
@@ -128,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedAtBox:
-    """The box told that a session is over, and when by its own clock (Unix ms)."""
+    """The box reported the end of a session. `box_time_ms`: when, Unix ms by the box's clock."""
 
     session: int
     attempt: int
@@ -140,9 +144,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """A session that plays at a box as attempt 0, handed over from an earlier run or another director.
+    """A session that plays at a box as attempt 0, from an earlier run of this director or from another one.
 
-    `name`: its set-up, where it is not of this run; `boot` and `counter` of the box when it said so.
+    `set_up`: the id of its set-up if this run did not make it. `boot` and `counter`: as reported by the box.
     """
 
     session: int
@@ -155,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseUnwanted:
-    """A box holds this set-up for this director, and it is not wanted."""
+    """A box holds this set-up for this director, but no session needs it."""
 
     set_up: str
     node: int
@@ -163,17 +167,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixChanged:
-    """This director has begun another run: set-ups from here on bear its prefix, those before keep theirs."""
+    """This director has begun another run: new set-ups get its prefix, those made before keep theirs."""
 
     prefix: str
 
 
 @dataclass(frozen=True, slots=True)
 class BoxLost:
-    """What ran at the box is lost, but for what the process `boot` says that it holds.
+    """What ran at the box is lost, except for what its process `boot` reports to hold.
 
-    Without a boot id there was no word for too long, and all is lost. With one, what another process ran is
-    lost, and of its own what it does not name, judged only by what it had set up when it spoke (`counter`).
+    Without a boot id, the box was silent for too long, and all is lost. With one, set-ups of another process
+    are lost, and set-ups of this process that are not in `held`, unless they were made after the report:
+    `counter` is the process's count of set-ups at that time.
     """
 
     node: int
@@ -184,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoxDraining:
-    """The list says that the box takes nothing new; `gone`: that it is no more."""
+    """By the list, the box takes no new set-ups; `gone`: the box is no longer listed."""
 
     node: int
     gone: bool
@@ -192,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoxReady:
-    """The list says that the box takes set-ups."""
+    """By the list, the box takes set-ups."""
 
     node: int
 
@@ -206,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseFailed:
-    """The release had no answer."""
+    """The call to release the set-up has no usable answer."""
 
     set_up: str
 
@@ -234,7 +239,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class WriteIntent:
-    """Make the intent durable, then report IntentDurable."""
+    """Write the intent to stable storage, then deliver IntentDurable or IntentFailed."""
 
     session: int
     attempt: int
@@ -243,7 +248,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSetUp:
-    """Send the set-up to the box; it times out at `until`."""
+    """Send the set-up to the box; the attempt ends at `timeout_at` if there is no answer."""
 
     session: int
     attempt: int
@@ -254,7 +259,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbortSetUp:
-    """Stop the set-up's call, or only if nothing of it has left; what is stopped ends in Lost."""
+    """Stop the set-up's call; if `if_unsent`, only if no byte was sent. A stopped call ends in CallFailed."""
 
     session: int
     attempt: int
@@ -263,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRung:
-    """Tell the box the rung of a session that plays."""
+    """Send the box the new rung of a playing session."""
 
     session: int
     attempt: int
@@ -273,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Delete the set-up at the box; `again`: an earlier try had no answer, wait before this one."""
+    """Delete the set-up at the box; `retry`: an earlier call failed, wait before this one."""
 
     set_up: str
     node: int
@@ -282,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStarted:
-    """The module's Started; the box's load report is news of the moment."""
+    """Deliver Started to the module; `load` is the box's load report in its answer."""
 
     session: int
     attempt: int
@@ -293,7 +298,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportEnded:
-    """The module's Ended. `playing`: the set-up had been done."""
+    """Deliver Ended to the module. `had_started`: the attempt was playing."""
 
     session: int
     attempt: int
@@ -301,8 +306,8 @@
     outcome: fl.Outcome
     had_started: bool
     load: fl.Load | None = None
-    box_time_ms: int = 0  # by the box's clock; 0: nobody saw the end
-    parked: bool = False  # the box let its place go, and keeps the set-up
+    box_time_ms: int = 0  # when it ended by the box's clock; 0 if not reported
+    parked: bool = False  # the box freed the session's slot but keeps the set-up
     set_up: str = ""
 
 
@@ -321,26 +326,26 @@
     sent_rung: int = -1
     wanted: bool = True
     draining: bool = False
-    named: bool = False
+    resumes_parked: bool = False
     boot: str = ""
     counter: int = 0
 
 
 class Attempts:
-    """Every attempt of this director that is out, plays, or may have left something at a box."""
+    """All attempts of this director that are out or playing, and the orphans that it has to release."""
 
     def __init__(self, prefix: str) -> None:
-        """`prefix` tells this director's set-ups, and this run of it, from all others."""
+        """`prefix` distinguishes the set-ups of this director and this run from all others."""
         self._prefix = prefix
-        self._live: dict[int, _Attempt] = {}  # by session: at most one attempt is out or plays
-        self._ghosts: dict[str, int] = {}  # set-up id to box
-        self._by_node: dict[int, set[int]] = {}  # sessions with a live attempt at the box
+        self._live: dict[int, _Attempt] = {}  # by session, which has at most one attempt out or playing
+        self._orphans: dict[str, int] = {}  # box by set-up id
+        self._by_node: dict[int, set[int]] = {}  # sessions with a live attempt, by box
         self._closed: set[int] = set()  # boxes that drain or are gone
-        self._names: dict[tuple[int, int], str] = {}  # of set-ups that were taken up again
-        self._named: dict[str, tuple[int, int]] = {}
+        self._set_up_ids: dict[tuple[int, int], str] = {}  # of set-ups not named after session and attempt
+        self._attempt_ids: dict[str, tuple[int, int]] = {}  # the same, by set-up id
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms on the module's clock."""
+        """Handle one event; `now` is in ms on the module's clock."""
         match event:
             case Send():
                 return self._send(event)
@@ -348,42 +353,42 @@
                 self._closed.discard(node)
                 return []
             case BoxDraining():
-                return self._drains(event)
+                return self._box_draining(event)
             case BoxLost():
                 return self._box_lost(event)
             case Resume():
-                self._resumes(event)
+                self._resume(event)
                 return []
             case ReleaseUnwanted(set_up, node):
-                self._ghosts[set_up] = node
+                self._orphans[set_up] = node
                 return [Release(set_up, node)]
             case PrefixChanged(prefix):
-                self._renewed(prefix)
+                self._change_prefix(prefix)
                 return []
             case CancelSession(session):
-                return self._call_off(session)
+                return self._cancel(session)
             case RungChanged():
                 return self._set_rung(event)
             case Released(set_up):
-                self._ghosts.pop(set_up, None)
+                self._orphans.pop(set_up, None)
                 return []
             case ReleaseFailed(set_up):
-                held = self._ghosts.get(set_up)
+                held = self._orphans.get(set_up)
                 return [] if held is None else [Release(set_up, held, True)]
         found = self._live.get(event.session)
         if found is None or found.attempt != event.attempt:
-            return self._of_a_ghost(event)
+            return self._after_end(event)
         match event:
             case IntentDurable():
-                return self._durable(now, found)
+                return self._intent_durable(now, found)
             case IntentFailed():
-                # only what still waits for its record has provably not left
-                waits = found.state is _State.INTENT
-                return self._end(found, fl.Outcome.NEVER_SENT) if waits else []
+                # only while it waits for the intent is it certain that nothing was sent
+                unsent = found.state is _State.INTENT
+                return self._end(found, fl.Outcome.NEVER_SENT) if unsent else []
             case Answered():
                 return self._answered(found, event)
             case CallFailed():
-                return self._lost(found, event)
+                return self._call_failed(found, event)
             case EndedAtBox():
                 if found.state is not _State.PLAYING:
                     return []
@@ -391,16 +396,16 @@
                     found, event.outcome, event.load, box_time_ms=event.box_time_ms, parked=event.parked
                 )
 
-    # ---- What is known ------------------------------------------------------------------------------------
+    # ---- Queries ------------------------------------------------------------------------------------------
     def set_up_id(self, session: int, attempt: int) -> str:
-        """The name of an attempt at its box."""
-        return self._names.get((session, attempt)) or f"{self._prefix}-{session}-{attempt}"
+        """The id of the attempt's set-up at its box."""
+        return self._set_up_ids.get((session, attempt)) or f"{self._prefix}-{session}-{attempt}"
 
     def attempt_of(self, set_up: str) -> tuple[int, int] | None:
-        """Session and attempt of a set-up of this run; of one that was taken up again, the present ones."""
-        known = self._named.get(set_up)
-        if known is not None:
-            return known
+        """Session and attempt of a set-up of this run; of a resumed set-up, those that use it now."""
+        resumed = self._attempt_ids.get(set_up)
+        if resumed is not None:
+            return resumed
         prefix, _, attempt = set_up.rpartition("-")
         prefix, _, session = prefix.rpartition("-")
         if prefix != self._prefix or not (session.isdigit() and attempt.isdigit()):
@@ -409,26 +414,26 @@
         return found if f"{prefix}-{found[0]}-{found[1]}" == set_up else None
 
     def is_known(self, set_up: str) -> bool:
-        """Whether a set-up is out, plays, or is being released."""
+        """Whether the set-up is out, playing or being released."""
         own = self.attempt_of(set_up)
         found = None if own is None else self._live.get(own[0])
-        return set_up in self._ghosts or (found is not None and own is not None and found.attempt == own[1])
+        return set_up in self._orphans or (found is not None and own is not None and found.attempt == own[1])
 
     def playing_at(self, session: int) -> tuple[int, int] | None:
-        """Box and attempt number of a session that plays."""
+        """Box and attempt number of a playing session, else None."""
         found = self._live.get(session)
         return (found.node, found.attempt) if found is not None and found.state is _State.PLAYING else None
 
     def count_at(self, node: int) -> int:
-        """How many attempts are out or play at a box."""
+        """Number of attempts out or playing at the box."""
         return len(self._by_node.get(node, ()))
 
     def has_attempt(self, session: int) -> bool:
-        """Whether an attempt of the session is out or plays."""
+        """Whether an attempt of the session is out or playing."""
         return session in self._live
 
     def timeout_at(self, session: int) -> float:
-        """When the attempt that is out times out, ms on the module's clock."""
+        """When the session's attempt times out, ms on the module's clock."""
         return self._live[session].timeout_at
 
     @property
@@ -437,22 +442,22 @@
 
     @property
     def orphan_count(self) -> int:
-        return len(self._ghosts)
+        return len(self._orphans)
 
-    # ---- Way there ----------------------------------------------------------------------------------------
+    # ---- Set-up, resumption -------------------------------------------------------------------------------
     def _send(self, event: Send) -> list[Action]:
         if event.session in self._live:
-            # rule 2: never two out at once, whatever the caller thinks
+            # rule 2: a session never has two attempts out at once
             raise RuntimeError(f"session {event.session} has an attempt out already")
-        named = bool(event.set_up)
-        if named:
-            self._names[event.session, event.attempt] = event.set_up
-            self._named[event.set_up] = event.session, event.attempt
-        state = _State.INTENT if event.paid and not named else _State.SENT
+        resumes_parked = bool(event.set_up)
+        if resumes_parked:
+            self._set_up_ids[event.session, event.attempt] = event.set_up
+            self._attempt_ids[event.set_up] = event.session, event.attempt
+        state = _State.INTENT if event.paid and not resumes_parked else _State.SENT
         made = _Attempt(
             event.session, event.attempt, event.node, event.rung, event.paid, event.timeout_at, state
         )
-        made.named = named
+        made.resumes_parked = resumes_parked
         self._live[event.session] = made
         self._by_node.setdefault(event.node, set()).add(event.session)
         if state is _State.INTENT:
@@ -460,28 +465,28 @@
         made.sent_rung = event.rung
         return [StartSetUp(event.session, event.attempt, event.node, event.rung, event.timeout_at)]
 
-    def _resumes(self, event: Resume) -> None:
+    def _resume(self, event: Resume) -> None:
         if event.session in self._live:
-            raise RuntimeError(f"session {event.session} is known already")
+            raise RuntimeError(f"session {event.session} has an attempt already")
         made = _Attempt(event.session, 0, event.node, event.rung, False, 0.0, _State.PLAYING)
         made.boot, made.counter = event.boot, event.counter
         if event.set_up:
-            self._names[event.session, 0] = event.set_up
-            self._named[event.set_up] = event.session, 0
+            self._set_up_ids[event.session, 0] = event.set_up
+            self._attempt_ids[event.set_up] = event.session, 0
         self._live[event.session] = made
         self._by_node.setdefault(event.node, set()).add(event.session)
 
-    def _renewed(self, prefix: str) -> None:
+    def _change_prefix(self, prefix: str) -> None:
         for found in self._live.values():
             key = found.session, found.attempt
             set_up = self.set_up_id(*key)
-            self._names[key], self._named[set_up] = set_up, key
+            self._set_up_ids[key], self._attempt_ids[set_up] = set_up, key
         self._prefix = prefix
 
-    def _durable(self, now: float, found: _Attempt) -> list[Action]:
+    def _intent_durable(self, now: float, found: _Attempt) -> list[Action]:
         if found.state is not _State.INTENT:
             return []
-        # the list may have changed, and the viewer left, while the disk was slow
+        # meanwhile the list may have changed or the viewer left: writing the intent takes time
         if found.node in self._closed or now >= found.timeout_at or not found.wanted:
             return self._end(found, fl.Outcome.NEVER_SENT)
         found.state, found.sent_rung = _State.SENT, found.rung
@@ -492,8 +497,8 @@
             return []
         if not event.started:
             return self._end(found, event.outcome, event.load)
-        if not found.wanted:  # the viewer left while this answer was on its way
-            return self._end(found, fl.Outcome.CANCELLED, event.load, ghost=True)
+        if not found.wanted:  # the viewer left while the answer was on its way
+            return self._end(found, fl.Outcome.CANCELLED, event.load, orphan=True)
         found.state, found.boot, found.counter = _State.PLAYING, event.boot, event.counter
         started: list[Action] = [
             ReportStarted(found.session, found.attempt, found.node, event.load, event.box_time_ms)
@@ -502,16 +507,16 @@
             started.append(SendRung(found.session, found.attempt, found.node, found.rung))
         return started
 
-    def _lost(self, found: _Attempt, event: CallFailed) -> list[Action]:
+    def _call_failed(self, found: _Attempt, event: CallFailed) -> list[Action]:
         if found.state is not _State.SENT:
             return []
         if event.sent:
-            return self._end(found, _LEFT_OUTCOMES[event.failure], ghost=True)
+            return self._end(found, _OUTCOMES_IF_SENT[event.failure], orphan=True)
         refused = event.failure is CallFailure.CONNECT
         return self._end(found, fl.Outcome.CONNECT_FAILED if refused else fl.Outcome.NEVER_SENT)
 
-    def _drains(self, event: BoxDraining) -> list[Action]:
-        """Only what has not left is stopped: what has left was sent before the drain was heard."""
+    def _box_draining(self, event: BoxDraining) -> list[Action]:
+        """Stop only set-ups of which nothing was sent: the others were sent before the drain was received."""
         self._closed.add(event.node)
         actions: list[Action] = []
         for session in sorted(self._by_node.get(event.node, ())):
@@ -520,20 +525,20 @@
                 found.draining = True
                 actions.append(AbortSetUp(found.session, found.attempt, if_unsent=True))
         if event.gone:
-            self._ghosts = {ghost: node for ghost, node in self._ghosts.items() if node != event.node}
+            self._orphans = {orphan: node for orphan, node in self._orphans.items() if node != event.node}
         return actions
 
-    # ---- Way back -----------------------------------------------------------------------------------------
-    def _call_off(self, session: int) -> list[Action]:
+    # ---- End and rung -------------------------------------------------------------------------------------
+    def _cancel(self, session: int) -> list[Action]:
         found = self._live.get(session)
         if found is None:
             return []
         found.wanted = False
         if found.state is _State.INTENT:
-            return []  # the record is being written: it ends as never sent when that is told
+            return []  # ends as NEVER_SENT at IntentDurable or IntentFailed
         if found.state is _State.SENT:
             return [AbortSetUp(found.session, found.attempt)]
-        return self._end(found, fl.Outcome.CANCELLED, ghost=True)
+        return self._end(found, fl.Outcome.CANCELLED, orphan=True)
 
     def _set_rung(self, event: RungChanged) -> list[Action]:
         found = self._live.get(event.session)
@@ -541,39 +546,39 @@
             return []
         found.rung = event.rung
         if found.state is not _State.PLAYING:
-            return []  # the set-up that is still to leave takes it along
+            return []  # the set-up carries it, or SendRung follows its answer
         return [SendRung(found.session, found.attempt, found.node, event.rung)]
 
     def _box_lost(self, event: BoxLost) -> list[Action]:
         actions: list[Action] = []
         for session in sorted(self._by_node.get(event.node, ())):
             found = self._live[session]
-            if found.state is _State.PLAYING and not self._held(found, event):
+            if found.state is _State.PLAYING and not self._is_held(found, event):
                 actions += self._end(found, fl.Outcome.RESET)
         for set_up in sorted(event.held):
-            if set_up not in self._ghosts and not self._is_live(set_up, event.node):
-                # the box holds something that nobody here knows of: an answer was lost with its director
-                self._ghosts[set_up] = event.node
+            if set_up not in self._orphans and not self._is_live(set_up, event.node):
+                # unknown here: its answer was lost with an earlier process of this director
+                self._orphans[set_up] = event.node
                 actions.append(Release(set_up, event.node))
         return actions
 
-    def _held(self, found: _Attempt, event: BoxLost) -> bool:
+    def _is_held(self, found: _Attempt, event: BoxLost) -> bool:
         if event.boot is None or found.boot != event.boot:
             return False
-        named = self.set_up_id(found.session, found.attempt) in event.held
-        return named or found.counter > event.counter
+        listed = self.set_up_id(found.session, found.attempt) in event.held
+        return listed or found.counter > event.counter
 
     def _is_live(self, set_up: str, node: int) -> bool:
         own = self.attempt_of(set_up)
         found = None if own is None else self._live.get(own[0])
         return found is not None and own is not None and found.attempt == own[1] and found.node == node
 
-    def _of_a_ghost(
+    def _after_end(
         self, event: IntentDurable | IntentFailed | Answered | CallFailed | EndedAtBox
     ) -> list[Action]:
-        """A late word on what was given up; a box that says it is over needs no release."""
+        """A late event of an attempt that has ended. An orphan that has ended at its box needs no release."""
         if isinstance(event, EndedAtBox):
-            self._ghosts.pop(self.set_up_id(event.session, event.attempt), None)
+            self._orphans.pop(self.set_up_id(event.session, event.attempt), None)
         return []
 
     def _end(
@@ -581,25 +586,25 @@
         found: _Attempt,
         outcome: fl.Outcome,
         load: fl.Load | None = None,
-        ghost: bool = False,
+        orphan: bool = False,
         box_time_ms: int = 0,
         parked: bool = False,
     ) -> list[Action]:
         playing = found.state is _State.PLAYING
         set_up = self.set_up_id(found.session, found.attempt)
-        if self._names.pop((found.session, found.attempt), None) is not None:
-            self._named.pop(set_up, None)
+        if self._set_up_ids.pop((found.session, found.attempt), None) is not None:
+            self._attempt_ids.pop(set_up, None)
         del self._live[found.session]
         self._by_node[found.node].discard(found.session)
         if not self._by_node[found.node]:
             del self._by_node[found.node]
-        told: list[Action] = [
+        actions: list[Action] = [
             ReportEnded(
                 found.session, found.attempt, found.node, outcome, playing, load, box_time_ms, parked, set_up
             )
         ]
-        if ghost and (playing or not found.named):
-            self._ghosts[set_up] = found.node
-            # released first: the module may set the session up elsewhere at once
-            told.insert(0, Release(set_up, found.node))
-        return told
+        if orphan and (playing or not found.resumes_parked):
+            self._orphans[set_up] = found.node
+            # released first: the module may set up the session elsewhere at once
+            actions.insert(0, Release(set_up, found.node))
+        return actions
--- a/foxlift/decide/links.py
+++ b/foxlift/decide/links.py
@@ -1,15 +1,17 @@
-"""The notice stream from one box: when it is held, and what its breaking says of the sessions there.
+"""The stream of notices that a director reads from one box: when it is open, and when the box counts as lost.
 
     state    event                  next     what is done
-    CLOSED   Wanted                 OPENING  open the stream
-    OPENING  Greeted                OPEN     the sessions there are held against what the box names
-    OPENING  Broken                 BROKEN   try again after a wait
-    OPEN     Broken                 BROKEN   try again at once, then after a wait
+    CLOSED   StreamNeeded           OPENING  open the stream
+    OPENING  HelloReceived          OPEN     compare the sessions at the box with those that hello names
+    OPENING  Disconnected           BROKEN   retry after the retry delay
+    OPEN     Disconnected           BROKEN   retry at once; further retries wait for the retry delay
     BROKEN   RetryDue               OPENING  open the stream
-    BROKEN   LossDue                BROKEN   no word for too long: every session there is lost
-    any      Unwanted               CLOSED   close the stream
+    silent   LossTimeout            same     all sessions at the box count as lost; the timer starts again
+    any      StreamUnneeded         CLOSED   close the stream
 
-A broken stream alone proves nothing: boxes go on serving viewers while a director cannot hear them.
+Silent: the stream is needed but not open. The loss timer runs during that time.
+
+A broken stream alone proves nothing: a box goes on serving its viewers while a director cannot reach it.
 """
 
 from __future__ import annotations
@@ -27,17 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamNeeded:
-    """A session is out to the box."""
+    """An attempt is out or playing at the box."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamUnneeded:
-    """Nothing is there any more."""
+    """No attempt is out or playing at the box."""
 
 
 @dataclass(frozen=True, slots=True)
 class HelloReceived:
-    """The stream has begun with hello."""
+    """The box opened the stream with hello."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDue:
-    """The wait before another try is over."""
+    """The retry timer is due."""
 
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class LossTimeout:
-    """The time is up after which silence counts as loss."""
+    """The loss timer is due."""
 
     generation: int
 
@@ -64,17 +66,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenStream:
-    """Ask the box for its notices."""
+    """Open the stream of notices from the box."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseStream:
-    """End the stream."""
+    """Close the stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartRetryTimer:
-    """Send RetryDue after so many milliseconds."""
+    """Deliver RetryDue after the delay."""
 
     delay_ms: float
     generation: int
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartLossTimer:
-    """Send LossDue after so many milliseconds."""
+    """Deliver LossTimeout after the delay."""
 
     delay_ms: float
     generation: int
@@ -90,24 +92,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AllSessionsLost:
-    """Every session at the box is lost."""
+    """The box was silent for too long: every session there counts as lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class CompareSessions:
-    """Sessions that hello does not name, or of another process than its own, are lost."""
+    """Sessions that hello does not name, or that ran in an earlier process of the box, are lost."""
 
 
 Action = OpenStream | CloseStream | StartRetryTimer | StartLossTimer | AllSessionsLost | CompareSessions
 
 
 class Link:
-    """One director's stream from one box."""
+    """The stream of notices from one box to this director."""
 
     def __init__(self, retry_ms: float, lost_after_ms: float) -> None:
         self._retry_ms, self._lost_after_ms = retry_ms, lost_after_ms
         self._state = _State.CLOSED
-        self._generation = 0  # a timer of an earlier break says nothing of this one
+        self._generation = 0  # timers carry it; one of an earlier generation is ignored
         self._silent = False
 
     @property
@@ -116,16 +118,16 @@
         return self._state is _State.OPEN
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in; the caller keeps the waits."""
+        """Handle one event; the caller runs the timers."""
         match event:
             case StreamNeeded():
-                return self._wanted()
+                return self._needed()
             case StreamUnneeded():
-                return self._unwanted()
+                return self._unneeded()
             case HelloReceived():
-                return self._greeted()
+                return self._hello_received()
             case Disconnected():
-                return self._broken()
+                return self._disconnected()
             case RetryDue(generation):
                 if self._state is _State.BROKEN and generation == self._generation:
                     self._state = _State.OPENING
@@ -136,34 +138,34 @@
                     return [AllSessionsLost(), StartLossTimer(self._lost_after_ms, self._generation)]
                 return []
 
-    def _wanted(self) -> list[Action]:
+    def _needed(self) -> list[Action]:
         if self._state is not _State.CLOSED:
             return []
         self._state = _State.OPENING
-        return [OpenStream(), *self._fall_silent()]
+        return [OpenStream(), *self._start_silence()]
 
-    def _unwanted(self) -> list[Action]:
-        open_now = self._state in (_State.OPEN, _State.OPENING)
+    def _unneeded(self) -> list[Action]:
+        was_open = self._state in (_State.OPEN, _State.OPENING)
         self._state, self._silent = _State.CLOSED, False
         self._generation += 1
-        return [CloseStream()] if open_now else []
+        return [CloseStream()] if was_open else []
 
-    def _greeted(self) -> list[Action]:
+    def _hello_received(self) -> list[Action]:
         if self._state is not _State.OPENING:
             return []
         self._state, self._silent = _State.OPEN, False
         self._generation += 1
         return [CompareSessions()]
 
-    def _broken(self) -> list[Action]:
+    def _disconnected(self) -> list[Action]:
         if self._state not in (_State.OPEN, _State.OPENING):
             return []
         was_open = self._state is _State.OPEN
         self._state = _State.BROKEN
-        wait = self._fall_silent()
-        return [*wait, StartRetryTimer(0.0 if was_open else self._retry_ms, self._generation)]
+        loss_timer = self._start_silence()
+        return [*loss_timer, StartRetryTimer(0.0 if was_open else self._retry_ms, self._generation)]
 
-    def _fall_silent(self) -> list[Action]:
+    def _start_silence(self) -> list[Action]:
         if self._silent:
             return []
         self._silent = True
--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -1,45 +1,46 @@
-"""Which request with a token becomes a new session, joins one, reloads one, or is answered at once.
+"""Which request with a token opens a session, joins one, reloads its manifest, or is answered at once.
 
-The token's id is what is paid for. Its life, at one director:
+What is paid for is the token, not the request: a paid token gets no second set-up. States of a token at one
+director:
 
     state      event                      next       what is done
     (unknown)  Requested                  ASKED      open a session
-    ASKED      Requested                  ASKED      join: it gets the same answer
-    ASKED      HungUp, others wait        ASKED      nothing
-    ASKED      HungUp, nobody waits       LEFT       withdraw the session
-    ASKED      Plays                      PLAYING    show the manifest to all who wait
-    ASKED      Refused                    (unknown)  tell all who wait; a further try is harmless
-    ASKED      Failed                     SPENT      paid; free: (unknown). Tell all who wait
-    PLAYING    Requested                  PLAYING    show the manifest: a reload is no new session
-    PLAYING    Over                       SPENT      paid; free: (unknown)
-    PLAYING    Parked                     PARKED     its viewer paused for long: the box let its place go
-    PARKED     Requested                  ASKED      open a session that takes the same set-up up again
-    PARKED     Requested, too late        SPENT      gone: the box keeps it no longer
-    ASKED      Refused, Failed, taking up PARKED     tell all who wait; taking up may be tried again
-    ASKED      Lapsed                     SPENT      gone: the box has it no more
-    LEFT       Over, taking up            PARKED
-    LEFT       Requested                  LEFT       free: wait a little; paid: failed, it may be running
-    LEFT       Over, provably never ran   (unknown)
-    LEFT       Over                       SPENT      paid; free: (unknown)
-    SPENT      Requested                  SPENT      failed where it may have run unseen, gone where it played
-
-Where directors take over each other's work (off by default):
-
-    ASKED      Elsewhere                  (unknown)  another has claimed it: each request is passed on
-    PLAYING,
-    PARKED     Elsewhere, Lost            (unknown)  another owns it now
-    any        Adopt                      PLAYING,   a session that ran elsewhere is this director's from
-                                          PARKED     now on; whoever waits is shown it
-    PLAYING    Adopt of another set-up    PLAYING    superfluous: one of the two is enough
-    SPENT      Requested, recalled or
-               never seen to play         SPENT      asked about elsewhere: its box may still play it
-
-A token that has expired opens no session, but its holder may reload the one that it opened, and take it up
-again after a pause. What is spent is kept until the token's own expiry: after that it could open nothing
-anyway.
-
-Taking up is no second set-up: the box is asked for the very set-up that it parked, under its own name, and
-answers the same however often it is asked. So nothing is spent by an answer that is lost.
+    ASKED      Requested                  ASKED      join: the request gets the same answer
+    ASKED      ClientDisconnected, others ASKED      nothing
+    ASKED      ClientDisconnected, last   LEFT       withdraw the session
+    ASKED      SessionStarted             PLAYING    send the manifest to all waiting requests
+    ASKED      Refused                    (unknown)  answer all waiting requests; trying again is harmless
+    ASKED      Failed                     SPENT      paid; free: (unknown). Answer all waiting requests
+    PLAYING    Requested                  PLAYING    send the manifest: a reload is no new session
+    PLAYING    SessionEnded               SPENT      paid; free: (unknown)
+    PLAYING    Parked                     PARKED     paid: the viewer paused for long, the box freed its slot
+    PLAYING    Parked                     (unknown)  free: the next request opens another session
+    PARKED     Requested                  ASKED      open a session that resumes the parked set-up
+    PARKED     Requested, too late        SPENT      SESSION_OVER: the box keeps the set-up no longer
+    ASKED      Refused, Failed, resuming  PARKED     answer all waiting requests; resuming may be tried again
+    ASKED      ParkedSetUpGone            SPENT      SESSION_OVER: the box no longer has the set-up
+    LEFT       SessionEnded, resuming     PARKED
+    LEFT       Requested                  LEFT       free: CANCELLING; paid: MAY_HAVE_RUN
+    LEFT       SessionEnded, never ran    (unknown)  only where it is proved that nothing ran
+    LEFT       SessionEnded               SPENT      paid; free: (unknown)
+    SPENT      Requested                  SPENT      SESSION_OVER if it played, else MAY_HAVE_RUN
+
+Where directors take over each other's sessions (off by default):
+
+    ASKED      OwnedElsewhere             (unknown)  another director owns it: forward each waiting request
+    PLAYING    OwnedElsewhere             (unknown)  another director owns it now
+    PARKED     ParkedTakenOver            (unknown)  another director owns it now
+    any        Adopt                      PLAYING,   own a session that ran elsewhere, withdraw one just asked
+                                          PARKED     for; waiting requests get the manifest, or query again
+    PLAYING    Adopt of another set-up    PLAYING    DuplicateSetUp: one set-up for a token is enough
+    SPENT      Requested, restored or
+               never seen playing         SPENT      query the owner: the box may still play it
+
+An expired token opens no session, but its viewer may reload the session that it opened, and resume it after a
+pause. A spent token is remembered until it expires; an expired one could open nothing anyway.
+
+Resuming is not a second set-up: the director sends the box the set-up that it parked, under the same id, and
+the box gives the same answer each time. A lost answer therefore spends nothing.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_WAITING = 8  # requests that may wait on one token: a player has one, two in a race; more is a flood
+MAX_WAITING = 8  # requests that may wait on one token; a player has one, or two that cross
 
 
 class _State(Enum):
@@ -60,7 +61,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a request is answered without a session."""
+    """The reason for which a request is rejected without a session."""
 
     EXPIRED = "the token has expired"
     MAY_HAVE_RUN = "an earlier set-up for this token may have run"
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParkedLocation:
-    """Where a paid session is parked: its box, its set-up there, and the token of its segments' path."""
+    """Where a session is parked: its box, its set-up there, and the token in the path of its segments."""
 
     node: int
     set_up: str
@@ -94,14 +95,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The request's client left before its answer."""
+    """The client of the request disconnected before the answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SessionStarted:
-    """The session's set-up is done."""
+    """The session plays."""
 
     session: int
 
@@ -115,14 +116,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The module gave the session up, and it may have run."""
+    """The module failed the session, and it may have run."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnded:
-    """Nothing of the session is out or playing any more. `ran`: False only where that is proved."""
+    """No attempt of the session is out or playing any more. `ran` is False only if that is proved."""
 
     session: int
     ran: bool = True
@@ -130,23 +131,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Parked:
-    """The box let a playing paid session's place go and keeps its set-up until then (Unix seconds)."""
+    """The box freed the slot of a playing session and keeps its set-up until `until` (Unix seconds)."""
 
     session: int
     until: float
-    place: ParkedLocation
+    location: ParkedLocation
 
 
 @dataclass(frozen=True, slots=True)
 class ParkedSetUpGone:
-    """The box does not have what was to be taken up again."""
+    """The box does not have the parked set-up that the session was to resume."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """A spent token as the record of paid set-ups shows it at the start."""
+    """A spent token, restored at start from the record of paid set-ups."""
 
     token: str
     expires: float
@@ -155,26 +156,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedElsewhere:
-    """The session is not to be here: its token is claimed elsewhere, or it was taken over."""
+    """Another director owns the session: its token is claimed there, or the session was taken over."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class ParkedTakenOver:
-    """What is parked under this set-up was taken over by another director."""
+    """Another director took over the session parked under this set-up."""
 
     set_up: str
 
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """A session that plays, or with `until` (Unix seconds) is parked, is this director's from now on."""
+    """This director takes over a session that plays or, if `until` (Unix seconds) is set, is parked."""
 
     token: str
     paid: bool
     expires: float
-    place: ParkedLocation
+    location: ParkedLocation
     until: float = 0.0
 
 
@@ -197,16 +198,16 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class OpenSession:
-    """Ask the module for a session on behalf of this request; `place`: take the set-up parked there up."""
+    """Ask the module for a session for this request; `location`: where the set-up to resume is parked."""
 
     session: int
     request: int
-    place: ParkedLocation | None = None
+    location: ParkedLocation | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class SendManifest:
-    """Answer with the session's manifest."""
+    """Answer the request with the session's manifest."""
 
     request: int
     session: int
@@ -214,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRefusal:
-    """Answer that the session is refused."""
+    """Answer the request that the session is refused."""
 
     request: int
     session: int
@@ -222,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFailure:
-    """Answer that the session failed."""
+    """Answer the request that the session failed."""
 
     request: int
     session: int
@@ -230,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer at once, without a session."""
+    """Answer the request at once, without a session."""
 
     request: int
     reason: RejectionReason
@@ -238,14 +239,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Tell the module that the viewer walked away."""
+    """Notify the module that no viewer waits for the session any more."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Somebody else answers this request, or knows what became of its session."""
+    """Another director owns the session: forward the request to it, or answer that it cannot be reached."""
 
     request: int
     session: int
@@ -253,21 +254,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryOwner:
-    """Whether it still plays, and where, is not known here: its register and its box know."""
+    """Find out from the token's register and from the box who owns the session and whether it still plays."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """The adopted session plays under this number."""
+    """The session that was adopted plays under this number."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class DuplicateSetUp:
-    """The token's session plays here already, as another set-up: the adopted one is not wanted."""
+    """The token's session plays here already under another set-up: release the one to be adopted."""
 
 
 Action = (
@@ -285,7 +286,7 @@
 
 
 @dataclass(slots=True)
-class _Claim:
+class _TokenSession:
     token: str
     paid: bool
     expires: float
@@ -293,247 +294,255 @@
     state: _State = _State.ASKED
     waiting: list[int] = field(default_factory=list)
     played: bool = False
-    parked_until: float = 0.0  # above 0: what it asks for is taken up again, not set up
-    place: ParkedLocation | None = None  # where; forgotten with the claim
-    recalled: bool = False
+    parked_until: float = 0.0  # Unix seconds; above 0: the session resumes a parked set-up
+    location: ParkedLocation | None = None  # of its set-up, if parked or adopted
+    restored: bool = False
 
 
 class TokenSessions:
-    """Every token that this director has to remember. `fleet`: whether others take over what it leaves."""
+    """All tokens that this director has to remember. `fleet`: directors take over each other's sessions."""
 
     def __init__(self, fleet: bool = False) -> None:
         self._fleet = fleet
-        self._by_token: dict[str, _Claim] = {}
-        self._by_session: dict[int, _Claim] = {}
-        self._by_request: dict[int, _Claim] = {}
-        self._spent: list[tuple[float, str]] = []  # heap by expiry
+        self._by_token: dict[str, _TokenSession] = {}
+        self._by_session: dict[int, _TokenSession] = {}
+        self._by_request: dict[int, _TokenSession] = {}
+        self._expiry: list[tuple[float, str]] = []  # heap of (time to forget, token), Unix seconds
         self._last_session = 0
 
     def __len__(self) -> int:
         return len(self._by_token)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in. `now` is Unix seconds, used only to forget what has expired."""
-        self._forget_expired(now)
+        """Handle one event. `now` is in Unix seconds and serves to drop what has expired."""
+        self._drop_expired(now)
         match event:
             case Requested():
                 return self._requested(now, event)
             case ClientDisconnected():
-                return self._hung_up(event.request)
+                return self._client_disconnected(event.request)
             case Restored():
-                self._recalled(event)
+                self._restore(event)
                 return []
             case ParkedTakenOver(set_up):
-                self._lost(set_up)
+                self._parked_taken_over(set_up)
                 return []
             case Adopt():
                 return self._adopt(event)
-        claim = self._by_session.get(event.session)
-        if claim is None:
+        entry = self._by_session.get(event.session)
+        if entry is None:
             return []
         match event:
             case SessionStarted():
-                return self._plays(claim)
+                return self._started(entry)
             case Refused():
-                return self._refused(claim)
+                return self._refused(entry)
             case Failed():
-                return self._failed(claim)
-            case Parked(_, until, place):
-                claim.place = place
-                self._park(claim, until)
+                return self._failed(entry)
+            case Parked(_, until, location):
+                entry.location = location
+                self._park(entry, until)
             case ParkedSetUpGone():
-                return self._lapsed(claim)
+                return self._parked_set_up_gone(entry)
             case OwnedElsewhere():
-                return self._elsewhere(claim)
+                return self._owned_elsewhere(entry)
             case SessionEnded():
-                self._over(claim, event.ran)
+                self._ended(entry, event.ran)
         return []
 
     def is_new(self, token: str) -> bool:
-        """Whether a request with this token would open a session."""
+        """Whether the token is unknown, so that a request with it would open a session."""
         return token not in self._by_token
 
     def playing_session(self, token: str) -> int | None:
-        """The session that plays on a token."""
-        claim = self._by_token.get(token)
-        return claim.session if claim is not None and claim.state is _State.PLAYING else None
+        """The session that plays for the token, if any."""
+        entry = self._by_token.get(token)
+        return entry.session if entry is not None and entry.state is _State.PLAYING else None
 
     # ---- Requests -----------------------------------------------------------------------------------------
     def _requested(self, now: float, event: Requested) -> list[Action]:
-        claim = self._by_token.get(event.token)
-        if claim is None:
+        entry = self._by_token.get(event.token)
+        if entry is None:
             if event.expired:
                 return [Reject(event.request, RejectionReason.EXPIRED)]
             return self._open(event)
-        match claim.state:
+        match entry.state:
             case _State.ASKED:
-                if len(claim.waiting) >= MAX_WAITING:
+                if len(entry.waiting) >= MAX_WAITING:
                     return [Reject(event.request, RejectionReason.TOO_MANY_WAITING)]
-                claim.waiting.append(event.request)
-                self._by_request[event.request] = claim
+                entry.waiting.append(event.request)
+                self._by_request[event.request] = entry
                 return []
             case _State.PLAYING:
-                return [SendManifest(event.request, claim.session)]
+                return [SendManifest(event.request, entry.session)]
             case _State.LEFT:
                 return [
                     Reject(
                         event.request,
-                        RejectionReason.MAY_HAVE_RUN if claim.paid else RejectionReason.CANCELLING,
+                        RejectionReason.MAY_HAVE_RUN if entry.paid else RejectionReason.CANCELLING,
                     )
                 ]
             case _State.PARKED:
-                return self._take_up(now, claim, event.request)
-            case _State.SPENT if self._fleet and (claim.recalled or not claim.played):
+                return self._resume(now, entry, event.request)
+            case _State.SPENT if self._fleet and (entry.restored or not entry.played):
                 return [QueryOwner(event.request)]
             case _State.SPENT:
                 return [
                     Reject(
                         event.request,
-                        RejectionReason.SESSION_OVER if claim.played else RejectionReason.MAY_HAVE_RUN,
+                        RejectionReason.SESSION_OVER if entry.played else RejectionReason.MAY_HAVE_RUN,
                     )
                 ]
 
-    def _take_up(self, now: float, claim: _Claim, request: int) -> list[Action]:
-        if now >= claim.parked_until:
-            self._spend(claim)
+    def _resume(self, now: float, entry: _TokenSession, request: int) -> list[Action]:
+        if now >= entry.parked_until:
+            self._spend(entry)
             return [Reject(request, RejectionReason.SESSION_OVER)]
         self._last_session += 1
-        claim.session, claim.state, claim.waiting = self._last_session, _State.ASKED, [request]
-        self._by_session[claim.session] = claim
-        self._by_request[request] = claim
-        return [OpenSession(claim.session, request, claim.place)]
+        entry.session, entry.state, entry.waiting = self._last_session, _State.ASKED, [request]
+        self._by_session[entry.session] = entry
+        self._by_request[request] = entry
+        return [OpenSession(entry.session, request, entry.location)]
 
     def _open(self, event: Requested) -> list[Action]:
         self._last_session += 1
-        claim = _Claim(event.token, event.paid, event.expires, self._last_session, waiting=[event.request])
-        self._by_token[event.token] = claim
-        self._by_session[claim.session] = claim
-        self._by_request[event.request] = claim
-        return [OpenSession(claim.session, event.request)]
-
-    def _hung_up(self, request: int) -> list[Action]:
-        claim = self._by_request.pop(request, None)
-        if claim is None or request not in claim.waiting:
+        entry = _TokenSession(
+            event.token, event.paid, event.expires, self._last_session, waiting=[event.request]
+        )
+        self._by_token[event.token] = entry
+        self._by_session[entry.session] = entry
+        self._by_request[event.request] = entry
+        return [OpenSession(entry.session, event.request)]
+
+    def _client_disconnected(self, request: int) -> list[Action]:
+        entry = self._by_request.pop(request, None)
+        if entry is None or request not in entry.waiting:
             return []
-        claim.waiting.remove(request)
-        if claim.waiting or claim.state is not _State.ASKED:
+        entry.waiting.remove(request)
+        if entry.waiting or entry.state is not _State.ASKED:
             return []
-        claim.state = _State.LEFT
-        return [Withdraw(claim.session)]
+        entry.state = _State.LEFT
+        return [Withdraw(entry.session)]
 
-    def _release(self, claim: _Claim) -> list[int]:
-        waiting, claim.waiting = claim.waiting, []
+    def _take_waiting(self, entry: _TokenSession) -> list[int]:
+        waiting, entry.waiting = entry.waiting, []
         for request in waiting:
             self._by_request.pop(request, None)
         return waiting
 
     # ---- Sessions -----------------------------------------------------------------------------------------
-    def _plays(self, claim: _Claim) -> list[Action]:
-        if claim.state is not _State.ASKED:
+    def _started(self, entry: _TokenSession) -> list[Action]:
+        if entry.state is not _State.ASKED:
             return []  # its viewer left while the answer was on its way
-        claim.state, claim.played, claim.parked_until = _State.PLAYING, True, 0.0
-        claim.place = None
-        return [SendManifest(request, claim.session) for request in self._release(claim)]
-
-    def _refused(self, claim: _Claim) -> list[Action]:
-        if claim.state is _State.ASKED:
-            answers: list[Action] = [SendRefusal(r, claim.session) for r in self._release(claim)]
-            if claim.parked_until:
-                self._park(claim, claim.parked_until)
+        entry.state, entry.played, entry.parked_until = _State.PLAYING, True, 0.0
+        entry.location = None
+        return [SendManifest(request, entry.session) for request in self._take_waiting(entry)]
+
+    def _refused(self, entry: _TokenSession) -> list[Action]:
+        if entry.state is _State.ASKED:
+            answers: list[Action] = [SendRefusal(r, entry.session) for r in self._take_waiting(entry)]
+            if entry.parked_until:
+                self._park(entry, entry.parked_until)
             else:
-                self._drop(claim)
+                self._drop(entry)
             return answers
         return []
 
-    def _failed(self, claim: _Claim) -> list[Action]:
-        if claim.state is not _State.ASKED:
+    def _failed(self, entry: _TokenSession) -> list[Action]:
+        if entry.state is not _State.ASKED:
             return []
-        answers: list[Action] = [SendFailure(r, claim.session) for r in self._release(claim)]
-        if claim.parked_until:
-            self._park(claim, claim.parked_until)
+        answers: list[Action] = [SendFailure(r, entry.session) for r in self._take_waiting(entry)]
+        if entry.parked_until:
+            self._park(entry, entry.parked_until)
         else:
-            self._spend(claim)
+            self._spend(entry)
         return answers
 
-    def _park(self, claim: _Claim, until: float) -> None:
-        if claim.state is _State.PLAYING and not claim.paid:
-            self._drop(claim)  # nothing was paid for: its viewer's next request opens another session
+    def _park(self, entry: _TokenSession, until: float) -> None:
+        if entry.state is _State.PLAYING and not entry.paid:
+            self._drop(entry)  # nothing was paid for: the viewer's next request opens another session
             return
-        self._by_session.pop(claim.session, None)
-        claim.state, claim.parked_until = _State.PARKED, until
-        heapq.heappush(self._spent, (max(until, claim.expires), claim.token))
+        self._by_session.pop(entry.session, None)
+        entry.state, entry.parked_until = _State.PARKED, until
+        heapq.heappush(self._expiry, (max(until, entry.expires), entry.token))
 
-    def _lapsed(self, claim: _Claim) -> list[Action]:
-        answers: list[Action] = [Reject(r, RejectionReason.SESSION_OVER) for r in self._release(claim)]
-        self._spend(claim)
+    def _parked_set_up_gone(self, entry: _TokenSession) -> list[Action]:
+        answers: list[Action] = [Reject(r, RejectionReason.SESSION_OVER) for r in self._take_waiting(entry)]
+        self._spend(entry)
         return answers
 
-    def _over(self, claim: _Claim, ran: bool) -> None:
-        """An attempt's end while the module still answers (ASKED) decides nothing: the answer does."""
-        if claim.state is _State.LEFT and claim.parked_until:
-            self._park(claim, claim.parked_until)
-        elif claim.state is _State.PLAYING or (claim.state is _State.LEFT and ran):
-            self._spend(claim)
-        elif claim.state is _State.LEFT:
-            self._drop(claim)
-
-    def _spend(self, claim: _Claim) -> None:
-        if not claim.paid:
-            self._drop(claim)
+    def _ended(self, entry: _TokenSession, ran: bool) -> None:
+        """In ASKED the end of an attempt changes nothing: the module's answer decides."""
+        if entry.state is _State.LEFT and entry.parked_until:
+            self._park(entry, entry.parked_until)
+        elif entry.state is _State.PLAYING or (entry.state is _State.LEFT and ran):
+            self._spend(entry)
+        elif entry.state is _State.LEFT:
+            self._drop(entry)
+
+    def _spend(self, entry: _TokenSession) -> None:
+        if not entry.paid:
+            self._drop(entry)
             return
-        claim.state, claim.place = _State.SPENT, None
-        self._by_session.pop(claim.session, None)
-        heapq.heappush(self._spent, (claim.expires, claim.token))
+        entry.state, entry.location = _State.SPENT, None
+        self._by_session.pop(entry.session, None)
+        heapq.heappush(self._expiry, (entry.expires, entry.token))
 
-    def _drop(self, claim: _Claim) -> None:
-        self._by_session.pop(claim.session, None)
-        if self._by_token.get(claim.token) is claim:  # another may have taken its place
-            del self._by_token[claim.token]
+    def _drop(self, entry: _TokenSession) -> None:
+        self._by_session.pop(entry.session, None)
+        if self._by_token.get(entry.token) is entry:  # the token may have a newer entry
+            del self._by_token[entry.token]
 
     # ---- Between directors --------------------------------------------------------------------------------
-    def _elsewhere(self, claim: _Claim) -> list[Action]:
-        waiting, session = self._release(claim), claim.session
-        self._drop(claim)
+    def _owned_elsewhere(self, entry: _TokenSession) -> list[Action]:
+        waiting, session = self._take_waiting(entry), entry.session
+        self._drop(entry)
         return [Forward(request, session) for request in waiting]
 
-    def _lost(self, set_up: str) -> None:
-        for claim in list(self._by_token.values()):
-            if claim.state is _State.PARKED and claim.place is not None and claim.place.set_up == set_up:
-                self._drop(claim)
+    def _parked_taken_over(self, set_up: str) -> None:
+        for entry in list(self._by_token.values()):
+            if (
+                entry.state is _State.PARKED
+                and entry.location is not None
+                and entry.location.set_up == set_up
+            ):
+                self._drop(entry)
                 return
 
     def _adopt(self, event: Adopt) -> list[Action]:
-        claim = self._by_token.get(event.token)
+        entry = self._by_token.get(event.token)
         waiting: list[int] = []
         actions: list[Action] = []
-        if claim is not None and claim.state is _State.PLAYING:
+        if entry is not None and entry.state is _State.PLAYING:
             return [DuplicateSetUp()]
-        if claim is not None and claim.state is _State.ASKED:
-            waiting = self._release(claim)
-            claim.state = _State.LEFT
-            actions.append(Withdraw(claim.session))
+        if entry is not None and entry.state is _State.ASKED:
+            waiting = self._take_waiting(entry)
+            entry.state = _State.LEFT
+            actions.append(Withdraw(entry.session))
         self._last_session += 1
-        made = _Claim(event.token, event.paid, event.expires, self._last_session, _State.PLAYING, played=True)
-        made.place = event.place
+        made = _TokenSession(
+            event.token, event.paid, event.expires, self._last_session, _State.PLAYING, played=True
+        )
+        made.location = event.location
         self._by_token[event.token] = made
         if event.until:
-            # whoever waits asks once more, and takes it up from here
+            # the query brings each waiting request back here, where it resumes the parked session
             self._park(made, event.until)
             return [*actions, *(QueryOwner(request) for request in waiting)]
         self._by_session[made.session] = made
-        shown = [SendManifest(request, made.session) for request in waiting]
-        return [*actions, Adopted(made.session), *shown]
-
-    def _recalled(self, event: Restored) -> None:
-        claim = _Claim(event.token, True, event.expires, 0, _State.SPENT, played=event.played)
-        claim.recalled = True
-        self._by_token[event.token] = claim
-        heapq.heappush(self._spent, (event.expires, event.token))
-
-    def _forget_expired(self, now: float) -> None:
-        while self._spent and self._spent[0][0] <= now:
-            _, token = heapq.heappop(self._spent)
-            claim = self._by_token.get(token)
-            spent = claim is not None and claim.state is _State.SPENT and claim.expires <= now
-            if spent or (claim is not None and claim.state is _State.PARKED and claim.parked_until <= now):
+        answers = [SendManifest(request, made.session) for request in waiting]
+        return [*actions, Adopted(made.session), *answers]
+
+    def _restore(self, event: Restored) -> None:
+        entry = _TokenSession(event.token, True, event.expires, 0, _State.SPENT, played=event.played)
+        entry.restored = True
+        self._by_token[event.token] = entry
+        heapq.heappush(self._expiry, (event.expires, event.token))
+
+    def _drop_expired(self, now: float) -> None:
+        while self._expiry and self._expiry[0][0] <= now:
+            _, token = heapq.heappop(self._expiry)
+            entry = self._by_token.get(token)
+            spent = entry is not None and entry.state is _State.SPENT and entry.expires <= now
+            if spent or (entry is not None and entry.state is _State.PARKED and entry.parked_until <= now):
                 del self._by_token[token]
