--- a/foxlift/logic.py
+++ b/foxlift/logic.py
@@ -1,8 +1,8 @@
-"""Every decision of a director. Settings, events and actions are defined in foxlift/interface.py.
+"""All decisions of a director. Settings, events and actions are defined in foxlift/interface.py.
 
-The mechanism is transaction-least-work-left (docs/design.md): a new session goes to its title's holder with
-the least weighted work in this director's own counters, at the highest rung that keeps the link's estimated
-use under a mark below full.
+The method is transaction-least-work-left (docs/design.md): a new session goes to the holder of its title with
+the least weighted work by this director's own counters, at the highest rung that keeps the estimated use of
+the link below a target.
 """
 
 from __future__ import annotations
@@ -18,46 +18,45 @@
 from foxlift import interface as fl
 
 # ---- Constants --------------------------------------------------------------------------------------------
-MARK = 0.95  # share of a link; the rest is left for true rates above the ladder and other directors' set-ups
-BEAT_MS = 50.0  # ms; how often held requests are looked at again
-MARK_FALLS = 0.08  # by how much the mark falls for each halving of the worth earned for each kB a second
-HOLD_PART = 0.4  # share of the wanted time for which a request is held: its set-up must still fit in
-TRY_PART = 0.6  # share of the wanted time that a repeatable set-up may take before the next holder is tried
-COLD_FILL = 0.7  # requests expected in one turn at a cold node, of all directors that share it
-ALL_CELLS = -1  # stands for every cell where requests are counted by cell
-CROWD_MAX = (
-    3.0  # of the mean over cells: a crowd for one cell counts up to this, the rest finds other holders
-)
-COLD_PART = 0.7  # share of a cold node's budget that is used; the rest is for unequal set-up costs
-SUSPEND_MS = 1000.0  # ms; first suspension of a node that failed; doubles with each further failure
-SUSPEND_MAX_MS = 8000.0  # ms; longest suspension: a node is back in service seconds after it returns
-ASK_LIST_MS = 1000.0  # ms; wait before asking a list service that failed again, so as not to add to its load
-STRIKES = 2  # failures in a row, each of which may be the session's own fault, that suspend a node
-FULL = 1.03  # use of a pipe above which own sessions there are lowered
-SHED_TO = 0.97  # use of a pipe down to which they are lowered
-RAISE_GAP = 0.05  # how far under the mark for new sessions playing ones are raised: a gap, against flapping
-RAISE_AFTER_MS = 8000.0  # ms; room must have lasted so long: longer than news take to show a change
-RAISE_NEWS = 3.0  # rounds of reports that take less than that are waited for instead
-RAISE_FIRST = 0.5  # the same for a pipe just come to know, as a part: time to hear of it
-RAISE_PART = 0.5  # part of a rack's room that all directors together raise into in one round
-RAISE_REPAYS = 4.0  # a raise must gain so many times what the change costs
-LEFT_S = 20.0  # s; expected rest of a session without a hint
-LEFT_LEAST_S = 4.0  # s; least expected rest of a session whose hint has run out
-SHORT = 0.98  # share delivered under which sessions lose worth, and nodes tell of it
-LEAST_SHARE = 0.2  # a smaller share delivered is taken for this one: one lowering never overshoots by much
-LEAST_KB = 1.0  # kB a second; no pipe is taken to give less, as shares of it are worked out
-SETTLE_MS = 1000.0  # ms; shares delivered are smoothed over about this time, so they show a change late
-RECOVER = 2.0  # times that wait: an uplink that was found weak is by then believed to be as told again
-LEAN = 1.5  # how much more than an even part of the sessions on a node another director may have
-SHORT_LASTS_MS = 2500.0  # ms; notes of short delivery come each second; without more it is over
-AGREE = 0.15  # shares delivered that differ by less may have one cause: an uplink gives all the same
-AGREE_MS = 1500.0  # ms; two nodes of a rack that fall short within this time share a cause
-LINK_EXPLAINS = 0.9  # asked of the link times share delivered: about 1 where the link is what is short
-UNHEARD = 0.6  # use of a link while nothing at all has been heard: a fresh director starts at middling rungs
-USUAL_OF = 20  # pieces of news over which the usual use of a link is averaged: some seconds' worth
-UNSURE = 0.2  # how much above the average an unheard link counts for a director with hardly any session
-REPORT_AGE_MS = 400.0  # ms; typical age of a report in an answer, refreshed now and then and sent late
-LOGGED = 200  # own changes kept between two pieces of news on a pipe
+# Use: what is asked of a link or an uplink over what it gives; 1.0 is full. Shares and fractions are of 1.
+TARGET_USE = 0.95  # limit for new sessions; the rest is for rates above the ladder and other directors
+RECHECK_INTERVAL_MS = 50.0  # interval at which held requests are tried again
+TARGET_USE_STEP = 0.08  # decrease of the target for each halving of the worth that a kB/s earns
+HOLD_FRACTION = 0.4  # of the wanted time: longest hold of a request, which leaves time for its set-up
+ATTEMPT_FRACTION = 0.6  # of the wanted time: time-out of a repeatable set-up before the next holder is tried
+COLD_TURN_REQUESTS = 0.7  # requests expected in one turn at a cold node, of all directors that share the turn
+ALL_CELLS = -1  # key for all cells together where requests are counted by cell
+MAX_CELL_RATE_RATIO = 3.0  # to the mean over cells; demand for a cell above it finds other holders
+COLD_BUDGET_FRACTION = 0.7  # used part of a cold node's budget; the rest is for unequal costs of set-ups
+FIRST_SUSPENSION_MS = 1000.0  # of a node that failed; doubles with each further suspension
+MAX_SUSPENSION_MS = 8000.0  # a node is back in use a few seconds after it returns
+RETRY_LIST_MS = 1000.0  # wait before a list service that failed is asked again, which keeps its load low
+MAX_FAILURES = 2  # failures in a row that suspend a node; one failure may be the session's own fault
+LOWER_ABOVE_USE = 1.03  # use above which own sessions are lowered
+LOWER_TO_USE = 0.97  # use down to which they are lowered
+RAISE_MARGIN = 0.05  # playing sessions are raised only this far below the target use, against flapping
+MAX_RAISE_DELAY_MS = 8000.0  # room must have lasted so long: longer than a report takes to show a change
+RAISE_DELAY_ROUNDS = 3.0  # rounds of reports that room must have lasted, if they take less than that time
+FIRST_RAISE_FRACTION = 0.5  # of the raise delay: wait at a new link or uplink, until reports of it arrive
+RAISE_FRACTION = 0.5  # of a rack's room: used for raises by all directors together in one round
+RAISE_GAIN_FACTOR = 4.0  # least ratio of the gain of a raise to the cost of the rung change
+EXPECTED_REST_S = 20.0  # expected rest of a session without a length hint
+MIN_EXPECTED_REST_S = 4.0  # least expected rest of a session, also when its length hint has passed
+SHORT_SHARE = 0.98  # a delivered share below it is short: sessions lose worth, and nodes report it
+MIN_SHARE = 0.2  # smaller delivered shares count as this one, so that one lowering overshoots little
+MIN_CAPACITY_KB = 1.0  # kB/s; least capacity of a link or uplink, because uses are divided by it
+SHARE_SMOOTHING_MS = 1000.0  # nodes smooth delivered shares over about this time and show changes late
+RECOVERY_DELAYS = 2.0  # raise delays in which an uplink found weak returns to its nominal capacity
+MAX_IMBALANCE = 1.5  # factor by which a node's sessions of another director may exceed an even part
+SHORT_DURATION_MS = 2500.0  # notes of short delivery come once a second; without one in this time it is over
+SHARE_TOLERANCE = 0.15  # shares closer than that may have one cause: an uplink gives all nodes the same
+COMMON_CAUSE_MS = 1500.0  # two nodes of a rack with short deliveries within this time have a common cause
+LINK_CAUSE_USE = 0.9  # the link is the cause of a short delivery if its use times the share is about 1
+UNREPORTED_USE = 0.6  # link use assumed before any report: a director just started uses middle rungs
+MAX_USE_SAMPLES = 20  # reports over which the mean link use is taken: a few seconds
+UNREPORTED_MARGIN = 0.2  # highest margin on the mean use for an unreported link; falls with own sessions
+REPORT_AGE_MS = 400.0  # typical age of a report in an answer: nodes refresh it at intervals and send it late
+MAX_LOGGED_CHANGES = 200  # own changes kept between two reports on a link or uplink
 
 
 class _State(Enum):
@@ -69,7 +68,7 @@
 @dataclass(slots=True)
 class _Session:
     ask: fl.Ask
-    asked_at: float
+    requested_at: float
     deadline: float
     state: _State = _State.HELD
     answered: bool = False
@@ -78,46 +77,46 @@
     sent_at: float = 0.0
     node: _Node | None = None
     rung: int = 0
-    kb: float = 0.0
+    rate_kb: float = 0.0
     tried: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _Pipe:
-    """A node's link or a rack's uplink: what is asked of it, heard and booked."""
-
-    told_kb: float
-    kb: float  # what it gives: told, or learned from short delivery
-    own_kb: float = 0.0  # asked by this director's own sessions, set-ups included
-    use: float | None = None  # last heard: asked over given
-    moment: float = -1e18  # when that was true
-    changes: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=LOGGED))
+    """A node's link or a rack's uplink: its capacity, its reported use and this director's own part of it."""
+
+    nominal_kb: float
+    capacity_kb: float  # what it gives: the nominal capacity, or less after short deliveries
+    own_kb: float = 0.0  # rates of this director's own sessions, set-ups included
+    reported_use: float | None = None  # by the last report
+    use_at: float = -1e18  # the time for which that holds
+    changes: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_LOGGED_CHANGES))
     short_until: float = -1e18
-    shed_at: float = -1e18  # when own sessions were last lowered for it
-    strained_at: float = -1e18  # when it was last seen too full
+    lowered_at: float = -1e18  # when own sessions on it were last lowered
+    overloaded_at: float = -1e18  # when it was last found too full
     raised_at: float = -1e18
-    learned_at: float = 0.0
-    changed_kb: float = 0.0  # sum of the changes since the last news
-    nodes: list[_Node] = field(default_factory=list)  # what it carries
+    capacity_at: float = 0.0  # when `capacity_kb` was last set
+    changed_kb: float = 0.0  # sum of the own changes since the last report
+    nodes: list[_Node] = field(default_factory=list)  # that it serves
 
-    def book(self, now: float, kb: float) -> None:
+    def record_change(self, now: float, kb: float) -> None:
         self.own_kb += kb
         self.changed_kb += kb
         self.changes.append((now, kb))
 
-    def tell(self, use: float, moment: float) -> None:
-        """Take news in, unless something later is known."""
-        if moment >= self.moment:
-            self.use, self.moment = use, moment
+    def record_use(self, use: float, moment: float) -> None:
+        """Take in a report, unless there is a later one."""
+        if moment >= self.use_at:
+            self.reported_use, self.use_at = use, moment
             while self.changes and self.changes[0][0] <= moment:
                 self.changes.popleft()
             self.changed_kb = sum(kb for _, kb in self.changes)
 
-    def heard_use(self) -> float | None:
-        """Last news, corrected by this director's own starts, ends and rung changes since their moment."""
-        if self.use is None:
+    def estimated_use(self) -> float | None:
+        """Use by the last report, corrected by this director's starts, ends and rung changes since then."""
+        if self.reported_use is None:
             return None
-        return max(self.use + self.changed_kb / self.kb, self.own_kb / self.kb)
+        return max(self.reported_use + self.changed_kb / self.capacity_kb, self.own_kb / self.capacity_kb)
 
 
 @dataclass(slots=True)
@@ -126,20 +125,20 @@
     link: _Pipe
     rack: _Pipe
     sessions: dict[int, _Session] = field(default_factory=dict)
-    low: dict[int, _Session] = field(default_factory=dict)  # those that play below their best rung
+    raisable: dict[int, _Session] = field(default_factory=dict)  # sessions that play below their best rung
     setting_up: int = 0
     playing_kb: float = 0.0
     cold_since: float = -1e18
-    strikes: int = 0
+    failures: int = 0
     suspensions: int = 0
     suspended_until: float = 0.0
-    share: float = 1.0  # last told share delivered, and when
-    share_at: float = -1e18
-    sent_at: float = -1e18  # when this director last sent a set-up there
+    delivered_share: float = 1.0  # by the last note
+    delivered_at: float = -1e18
+    sent_at: float = -1e18  # when this director last sent it a set-up
 
 
-def _mix(*numbers: int) -> int:
-    """A stable 64-bit hash of whole numbers (splitmix64 steps)."""
+def _hash(*numbers: int) -> int:
+    """A stable 64-bit hash of whole numbers (steps of splitmix64)."""
     h = 0
     for number in numbers:
         h = (h ^ number) + 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
@@ -150,77 +149,77 @@
 
 
 class Director:
-    """Decides for the sessions that one director takes; knows only its own events."""
+    """Decides for the sessions of one director, from that director's events alone."""
 
     def __init__(self, settings: fl.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.best_yield = max(1e-9, *(self._yield(klass, klass.floor) for klass in settings.classes))
+        self.best_yield = max(1e-9, *(self._worth_per_kb(klass, klass.floor) for klass in settings.classes))
         rungs = range(len(settings.ladder_kb))
-        self.rates = [[kb * klass.rate_scale for kb in settings.ladder_kb] for klass in settings.classes]
-        self.marks = [[self._mark(klass, rung) for rung in rungs] for klass in settings.classes]
-        news_ms = RAISE_NEWS * settings.report_every_ms or RAISE_AFTER_MS
-        self.raise_after = min(news_ms, RAISE_AFTER_MS)  # ms; how long room must have lasted
-        self.rack_uses: dict[int, float] = {}  # by rack, while nothing has changed: many are placed in a row
+        self.rates_kb = [[kb * klass.rate_scale for kb in settings.ladder_kb] for klass in settings.classes]
+        self.target_uses = [[self._target_use(klass, rung) for rung in rungs] for klass in settings.classes]
+        rounds_ms = RAISE_DELAY_ROUNDS * settings.report_every_ms or MAX_RAISE_DELAY_MS
+        self.raise_delay_ms = min(rounds_ms, MAX_RAISE_DELAY_MS)  # room must have lasted so long
+        self.rack_use_cache: dict[int, float] = {}  # by rack, until something changes
         self.nodes: dict[int, _Node] = {}
         self.cells: dict[int, list[_Node]] = {}
         self.racks: dict[int, _Pipe] = {}
         self.sessions: dict[int, _Session] = {}
         self.held: dict[int, _Session] = {}
         self.seats: dict[tuple[int, int], int] = {}
-        self.asks: deque[float] = deque()
-        self.extras: deque[float] = deque()
-        self.cell_asks: dict[int, tuple[float, float]] = {}  # by cell: requests for it, as of when
-        self.started_at = math.inf  # when the first event came
-        self.playing = 0  # own sessions that play, and their rates
+        self.request_times: deque[float] = deque()
+        self.extra_attempt_times: deque[float] = deque()
+        self.cell_requests: dict[int, tuple[float, float]] = {}  # by cell: decayed count, and its time
+        self.started_at = math.inf  # time of the first event
+        self.playing = 0  # own playing sessions
         self.playing_kb = 0.0
-        self.usual_use = UNHEARD  # of a link: a mean of the latest news, of whichever link
-        self.news = 1
-        self.beating = False  # whether a timer for held requests is out
-        self.ask_list_at = -math.inf if settings.list_by_ask else math.inf  # when to ask for the node list
-        self.shares: tuple[float, ...] = ()  # by zone, of the plan in force; empty: there is none
+        self.mean_use = UNREPORTED_USE  # of a link: mean of the latest reports on all links
+        self.use_samples = 1
+        self.recheck_scheduled = False  # whether a timer for the held requests runs
+        self.retry_list_at = -math.inf if settings.list_by_ask else math.inf  # when to ask for the list again
+        self.zone_shares: tuple[float, ...] = ()  # by zone, of the plan in force; empty if there is none
         self.now = 0.0
         self.actions: list[fl.Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            fl.NodeList: self._list,
-            fl.Ask: self._take,
+            fl.NodeList: self._list_received,
+            fl.Ask: self._requested,
             fl.Started: self._started,
             fl.Ended: self._ended,
             fl.Note: self._note,
             fl.Resumed: self._resumed,
             fl.Withdrawn: self._withdrawn,
-            fl.Wake: self._beat,
-            fl.Probed: lambda event: self._heard(self.nodes.get(event.node), event.load),
-            fl.ZoneShares: self._planned,
+            fl.Wake: self._recheck_held,
+            fl.Probed: lambda event: self._load_reported(self.nodes.get(event.node), event.load),
+            fl.ZoneShares: self._set_zone_shares,
         }
 
     def handle(self, now: float, event: fl.Event) -> list[fl.Action]:
-        """Take one event in; give back the actions in the order in which they are to be carried out."""
+        """Handle one event. Returns the actions in the order in which they are to be carried out."""
         self.now, self.actions = now, []
         self.started_at = min(self.started_at, now)
-        self.rack_uses.clear()
-        if now >= self.ask_list_at:
-            self.ask_list_at = math.inf
+        self.rack_use_cache.clear()
+        if now >= self.retry_list_at:
+            self.retry_list_at = math.inf
             self.actions.append(fl.WatchList(True))
         self.handlers[type(event)](event)
         return self.actions
 
     # ---- Estimate -----------------------------------------------------------------------------------------
-    def _heard(self, node: _Node | None, load: fl.Load | None) -> None:
+    def _load_reported(self, node: _Node | None, load: fl.Load | None) -> None:
         if node is None or load is None:
             return
         use = load.link if load.link is not None else load.link_up_to_one
         for pipe, value in ((node.link, use), (node.rack, load.uplink)):
             if value is not None and 0 <= value < math.inf:
-                self._tell(pipe, value, self.now - REPORT_AGE_MS)
-        self._raise(node.rack)
+                self._record_use(pipe, value, self.now - REPORT_AGE_MS)
+        self._raise_sessions(node.rack)
 
-    def _tell(self, pipe: _Pipe, use: float, moment: float) -> None:
-        self.rack_uses.clear()
-        pipe.tell(use, moment)
+    def _record_use(self, pipe: _Pipe, use: float, moment: float) -> None:
+        self.rack_use_cache.clear()
+        pipe.record_use(use, moment)
         if pipe.nodes[0].link is pipe:
-            self.news = min(self.news + 1, USUAL_OF)
-            self.usual_use += (min(use, 1 / LEAST_SHARE) - self.usual_use) / self.news
+            self.use_samples = min(self.use_samples + 1, MAX_USE_SAMPLES)
+            self.mean_use += (min(use, 1 / MIN_SHARE) - self.mean_use) / self.use_samples
 
     def _note(self, note: fl.Note) -> None:
         session = self.sessions.get(note.session)
@@ -228,113 +227,133 @@
         if not 0 <= note.value < math.inf:
             return
         if note.kind is fl.NoteKind.RUNG and session is not None and session.node is not None:
-            self._count(session, min(int(note.value), len(self.settings.ladder_kb) - 1))
+            self._assign_rung(session, min(int(note.value), len(self.settings.ladder_kb) - 1))
         if node is None or session is None:
             return
         moment = self.now - self.settings.note_late_ms
         if note.kind is fl.NoteKind.DELIVERED:
             self._delivered(node, note.value, moment)
         elif note.kind is fl.NoteKind.LINK:
-            self._tell(node.link, note.value, moment)
+            self._record_use(node.link, note.value, moment)
         elif note.kind is fl.NoteKind.UPLINK:
-            self._tell(node.rack, note.value, moment)
+            self._record_use(node.rack, note.value, moment)
         if note.kind is not fl.NoteKind.DELIVERED:
-            self._recover(node.rack)
+            self._restore_capacity(node.rack)
             for pipe in (node.link, node.rack):
-                if (use := pipe.heard_use()) is not None and moment > pipe.shed_at:
-                    self._shed(pipe, use)
-            self._raise(node.rack)
+                if (use := pipe.estimated_use()) is not None and moment > pipe.lowered_at:
+                    self._lower_sessions(pipe, use)
+            self._raise_sessions(node.rack)
 
     def _delivered(self, node: _Node, share: float, moment: float) -> None:
-        """A short delivery marks the pipe that explains it as full; the note after it clears both.
+        """Mark the link or uplink that causes a short delivery as full; a note of full delivery clears both.
 
-        The uplink explains it where another node of the rack falls short too and the link is not known to be
-        full; then the better share of the two tells what the uplink really gives. A node that alone falls
-        short has lost its link, whatever its last report said: one bad link must not close its whole rack.
+        The uplink is the cause if another node of the rack has short deliveries too, or no other node has own
+        sessions, and the link is not known to be full. The best of the similar shares then shows what the
+        uplink really gives. If only one node has short deliveries, its link is the cause whatever its last
+        report said: one bad link must not close its whole rack.
         """
         link, rack = node.link, node.rack
-        node.share, node.share_at = share, self.now
-        if share >= SHORT:
+        node.delivered_share, node.delivered_at = share, self.now
+        if share >= SHORT_SHARE:
             link.short_until = rack.short_until = self.now
             return
         peers = [n for n in rack.nodes if n is not node and n.sessions]
-        late = [n.share for n in peers if n.share < SHORT and self.now - n.share_at < AGREE_MS]
-        also = [other for other in late if abs(other - share) < AGREE]
-        known = link.heard_use()
+        short_shares = [
+            n.delivered_share
+            for n in peers
+            if n.delivered_share < SHORT_SHARE and self.now - n.delivered_at < COMMON_CAUSE_MS
+        ]
+        similar = [other for other in short_shares if abs(other - share) < SHARE_TOLERANCE]
+        link_use = link.estimated_use()
         pipe = link
-        if rack.kb < math.inf and (also or not peers) and (known is None or known * share < LINK_EXPLAINS):
-            pipe, share = rack, max([share, *also])
-        pipe.short_until = self.now + SHORT_LASTS_MS
-        self.rack_uses.clear()
-        share = max(share, LEAST_SHARE)  # 0 where links are cut off: it would leave the uplink no size
+        if (
+            rack.capacity_kb < math.inf
+            and (similar or not peers)
+            and (link_use is None or link_use * share < LINK_CAUSE_USE)
+        ):
+            pipe, share = rack, max([share, *similar])
+        pipe.short_until = self.now + SHORT_DURATION_MS
+        self.rack_use_cache.clear()
+        share = max(share, MIN_SHARE)  # 0 where links are cut off: the uplink would have no capacity left
         use = 1 / share
-        if pipe is link or rack.use is not None:
-            pipe.tell(use, moment)
-        elif moment > rack.shed_at + SETTLE_MS:
-            rack.kb = max(min(rack.kb, share * max(self._rack_kb(rack), rack.own_kb)), LEAST_KB)
-            rack.learned_at = self.now
-        if moment > pipe.shed_at + SETTLE_MS:
-            self._shed(pipe, use)
-
-    def _recover(self, rack: _Pipe) -> None:
-        """An uplink once found weak is believed in again by and by, or at once where it carries more."""
-        if rack.short_until > self.now or rack.kb == math.inf:
+        if pipe is link or rack.reported_use is not None:
+            pipe.record_use(use, moment)
+        elif moment > rack.lowered_at + SHARE_SMOOTHING_MS:
+            rack.capacity_kb = max(
+                min(rack.capacity_kb, share * max(self._rack_demand_kb(rack), rack.own_kb)), MIN_CAPACITY_KB
+            )
+            rack.capacity_at = self.now
+        if moment > pipe.lowered_at + SHARE_SMOOTHING_MS:
+            self._lower_sessions(pipe, use)
+
+    def _restore_capacity(self, rack: _Pipe) -> None:
+        """Bring a weak uplink gradually back to its nominal capacity, or at once to what it carries."""
+        if rack.short_until > self.now or rack.capacity_kb == math.inf:
             return
-        self.rack_uses.clear()
-        part = min((self.now - rack.learned_at) / (RECOVER * self.raise_after), 1.0)
-        rack.learned_at = self.now
-        rack.kb = max(rack.kb + part * (rack.told_kb - rack.kb), min(self._rack_kb(rack), rack.told_kb))
+        self.rack_use_cache.clear()
+        part = min((self.now - rack.capacity_at) / (RECOVERY_DELAYS * self.raise_delay_ms), 1.0)
+        rack.capacity_at = self.now
+        rack.capacity_kb = max(
+            rack.capacity_kb + part * (rack.nominal_kb - rack.capacity_kb),
+            min(self._rack_demand_kb(rack), rack.nominal_kb),
+        )
 
     def _link_use(self, node: _Node) -> float:
-        """Estimated share of the node's link that is asked; an unheard node counts as average, and some more.
+        """Estimated use of the node's link; without a report, the mean over links plus a margin.
 
-        The fewer own sessions a node, the less the average says, and too high a start costs most.
+        The margin grows as there are fewer own sessions for each node: the mean then says less, and a first
+        rung that is too high costs most.
         """
-        if (use := node.link.heard_use()) is not None:
+        if (use := node.link.estimated_use()) is not None:
             return use
-        more = 1 + UNSURE * max(1 - len(self.sessions) / max(len(self.nodes), 1), 0)
-        return max(more * self.usual_use, node.link.own_kb * self.settings.directors / node.link.kb)
+        margin = 1 + UNREPORTED_MARGIN * max(1 - len(self.sessions) / max(len(self.nodes), 1), 0)
+        return max(margin * self.mean_use, node.link.own_kb * self.settings.directors / node.link.capacity_kb)
 
     def _rack_use(self, rack: _Pipe) -> float:
-        """Estimated share of the uplink that is asked: heard, or summed over the rack's links."""
-        use = rack.heard_use()
+        """Estimated use of the uplink: by reports, or from the sum over the rack's links."""
+        use = rack.estimated_use()
         if use is not None:
             return use
-        if (known := self.rack_uses.get(id(rack))) is None:
-            known = self.rack_uses[id(rack)] = self._rack_kb(rack) / rack.kb
-        return known
+        if (cached := self.rack_use_cache.get(id(rack))) is None:
+            cached = self.rack_use_cache[id(rack)] = self._rack_demand_kb(rack) / rack.capacity_kb
+        return cached
 
-    def _rack_kb(self, rack: _Pipe) -> float:
-        """What is asked of all links of the rack, kB a second.
+    def _rack_demand_kb(self, rack: _Pipe) -> float:
+        """Estimated rates asked of all links of the rack, kB/s.
 
-        A link that gives less than told seems to be asked for more; own sessions times directors bound that.
+        A link that gives less than its nominal capacity seems to be asked for more than it is. The rates of
+        own sessions times the number of directors limit that.
         """
         total = 0.0
         for node in rack.nodes:
             link = node.link
-            blind = UNHEARD * (min(link.kb, rack.told_kb / len(rack.nodes)) if link.use is None else link.kb)
-            most = max(link.own_kb * self.settings.directors * LEAN, blind)
-            total += max(min(self._link_use(node) * link.kb, most), link.own_kb)
+            assumed = UNREPORTED_USE * (
+                min(link.capacity_kb, rack.nominal_kb / len(rack.nodes))
+                if link.reported_use is None
+                else link.capacity_kb
+            )
+            limit = max(link.own_kb * self.settings.directors * MAX_IMBALANCE, assumed)
+            total += max(min(self._link_use(node) * link.capacity_kb, limit), link.own_kb)
         return total
 
     def _uses(self, node: _Node) -> list[tuple[float, float]]:
-        """Estimated use and size of node's link and uplink; full while short."""
+        """Estimated use and capacity of the link and the uplink; infinite use while deliveries are short."""
         link, rack = node.link, node.rack
         if max(link.short_until, rack.short_until) > self.now:
             return [(math.inf, 1.0)]
-        uplink = [(self._rack_use(rack), rack.kb)] if rack.kb < math.inf else []
-        return [(self._link_use(node), link.kb), *uplink]
+        uplink = [(self._rack_use(rack), rack.capacity_kb)] if rack.capacity_kb < math.inf else []
+        return [(self._link_use(node), link.capacity_kb), *uplink]
 
     # ---- Choice -------------------------------------------------------------------------------------------
     def _work(self, node: _Node) -> float:
-        """Weighted work left at the node: set-ups in flight and playing rates, over its link."""
+        """Weighted work left at the node: set-ups in flight and playing rates, over the link's capacity."""
         set_up_kb = self.playing_kb / self.playing if self.playing else self.settings.ladder_kb[0]
-        return (node.setting_up * set_up_kb + node.playing_kb) / node.link.kb
+        return (node.setting_up * set_up_kb + node.playing_kb) / node.link.capacity_kb
 
     def _holders(self, session: _Session) -> list[_Node]:
-        """The title's holders that may be sent a set-up now, least work first.
+        """The title's holders that may get a set-up now, least work first.
 
-        Where every holder is suspended, those not tried just now are better than none.
+        If all holders are suspended, they are used all the same, except those tried already.
         """
         ask, cells = session.ask, self.settings.cells
         found = [
@@ -346,84 +365,92 @@
             and (node.suspensions == 0 or node.setting_up == 0)
         ]
         usable = [node for node in found if self.now >= node.suspended_until] or found
-        tie = _mix(self.settings.director, ask.session)
+        tie = _hash(self.settings.director, ask.session)
         once = self._class(ask).repeat is not fl.Repeat.FREE
-        # a set-up that cannot be repeated is no trial for a node that has just failed
-        far = self.settings.price_crossing > 0
+        # a set-up that cannot be repeated must not be the trial of a node that has just failed
+        crossing_costs = self.settings.price_crossing > 0
 
-        dear = self.settings.price_connection > 0
+        connection_costs = self.settings.price_connection > 0
 
         def order(node: _Node) -> tuple[bool, bool, float, bool, int]:
-            crosses = far and node.info.zone != self.settings.zone
-            new = dear and not node.sessions  # a connection to it would have to be opened
-            return once and node.suspensions > 0, new, self._work(node), crosses, _mix(tie, node.info.node)
-
-        if not self.shares:
+            crosses = crossing_costs and node.info.zone != self.settings.zone
+            connects = connection_costs and not node.sessions  # a connection to it has to be opened
+            return (
+                once and node.suspensions > 0,
+                connects,
+                self._work(node),
+                crosses,
+                _hash(tie, node.info.node),
+            )
+
+        if not self.zone_shares:
             return sorted(usable, key=order)
         picked = self._planned_zone(ask.session)
         return sorted(usable, key=lambda node: (self._plan_rank(node.info.zone, picked), *order(node)))
 
     # ---- Zones --------------------------------------------------------------------------------------------
-    def _planned(self, event: fl.ZoneShares) -> None:
-        sane = all(0 <= share < math.inf for share in event.shares) and sum(event.shares) > 0
-        self.shares = event.shares if sane else ()
+    def _set_zone_shares(self, event: fl.ZoneShares) -> None:
+        valid = all(0 <= share < math.inf for share in event.shares) and sum(event.shares) > 0
+        self.zone_shares = event.shares if valid else ()
 
     def _planned_zone(self, session: int) -> int:
-        """The zone that this session's part of the plan falls to, the same each time it is placed."""
-        part = _mix(self.settings.director, session, 1) / 2**64 * sum(self.shares)
-        for zone, share in enumerate(self.shares):
-            part -= share
-            if part < 0:
+        """The zone to which the plan assigns this session, the same at each attempt."""
+        position = _hash(self.settings.director, session, 1) / 2**64 * sum(self.zone_shares)
+        for zone, share in enumerate(self.zone_shares):
+            position -= share
+            if position < 0:
                 return zone
-        return max(range(len(self.shares)), key=self.shares.__getitem__)
+        return max(range(len(self.zone_shares)), key=self.zone_shares.__getitem__)
 
     def _plan_rank(self, zone: int, picked: int) -> int:
-        """Where the plan sends nobody comes last: rather there than refused."""
-        share = self.shares[zone] if zone < len(self.shares) else 0.0
+        """Zones without a share in the plan come last, but before a refusal."""
+        share = self.zone_shares[zone] if zone < len(self.zone_shares) else 0.0
         return 0 if zone == picked else 1 if share > 0 else 2
 
     # ---- Rung ---------------------------------------------------------------------------------------------
     def _class(self, ask: fl.Ask) -> fl.SessionClass:
         return self.settings.classes[ask.klass]
 
-    def _kb(self, ask: fl.Ask, rung: int) -> float:
-        return self.rates[ask.klass][rung]
+    def _rate_kb(self, ask: fl.Ask, rung: int) -> float:
+        return self.rates_kb[ask.klass][rung]
 
-    def _rung(self, node: _Node, ask: fl.Ask) -> int | None:
-        """The highest rung that keeps the estimated use under the mark.
+    def _highest_rung(self, node: _Node, ask: fl.Ask) -> int | None:
+        """The highest rung that keeps the estimated use within the target, or None.
 
-        Steps of the ladder that earn less for their rate keep to a lower mark: they leave room for what
-        follows and earns more. Without that the first sessions take it all.
+        Steps of the ladder that earn less for their rate have a lower target, which leaves room for later
+        sessions that earn more. Otherwise the first sessions would take all the room.
         """
         klass, uses = self._class(ask), self._uses(node)
-        marks, rates = self.marks[ask.klass], self.rates[ask.klass]
+        targets, rates = self.target_uses[ask.klass], self.rates_kb[ask.klass]
         for rung in range(min(ask.best_rung, klass.top), klass.floor - 1, -1):
-            for use, size in uses:
-                if rates[rung] > (marks[rung] - use) * size:
+            for use, capacity_kb in uses:
+                if rates[rung] > (targets[rung] - use) * capacity_kb:
                     break
             else:
                 return rung
         return None
 
-    def _mark(self, klass: fl.SessionClass, rung: int) -> float:
-        return MARK - MARK_FALLS * math.log2(self.best_yield / max(self._yield(klass, rung), 1e-9))
+    def _target_use(self, klass: fl.SessionClass, rung: int) -> float:
+        return TARGET_USE - TARGET_USE_STEP * math.log2(
+            self.best_yield / max(self._worth_per_kb(klass, rung), 1e-9)
+        )
 
-    def _yield(self, klass: fl.SessionClass, rung: int) -> float:
-        """Worth of the last step to this rung for each kB a second; of the better of the two lowest steps."""
+    def _worth_per_kb(self, klass: fl.SessionClass, rung: int) -> float:
+        """Worth per kB/s of the step to this rung; at the class's floor, of the better of the first two."""
         kb, worth = self.settings.ladder_kb, self.settings.ladder_worth
         first = worth[0] / kb[0]
         steps = [first] + [(worth[k] - worth[k - 1]) / (kb[k] - kb[k - 1]) for k in range(1, len(kb))]
         return klass.worth * (max(steps[:2]) if rung <= klass.floor else steps[rung]) / klass.rate_scale
 
     # ---- Request life -------------------------------------------------------------------------------------
-    def _take(self, ask: fl.Ask) -> None:
+    def _requested(self, ask: fl.Ask) -> None:
         session = _Session(ask, self.now, self.now + ask.ttl_ms)
         cells = self.settings.cells
         held_by = ((ask.first_cell + k) % cells for k in range(min(ask.holders, cells)))
         for cell in (ALL_CELLS, *held_by):
-            self.cell_asks[cell] = (self._recent_asks(cell) + 1, self.now)
+            self.cell_requests[cell] = (self._recent_requests(cell) + 1, self.now)
         if self.settings.extra_span_ms > 0:
-            self.asks.append(self.now)
+            self.request_times.append(self.now)
             self._trim_budget()
         self.sessions[ask.session] = session
         if not self._place(session):
@@ -433,17 +460,17 @@
         klass = self._class(session.ask)
         if session.ask.best_rung < klass.floor or not self._seat_free(session.ask):
             return False
-        if session.attempts and not self._may_try_again(session):
-            return False  # also after a hold: others may have spent the budget of attempts meanwhile
+        if session.attempts and not self._may_retry(session):
+            return False  # checked again after a hold: other sessions may have used up the budget of attempts
         holders = self._holders(session)
         rivals: list[tuple[float, bool]] = []
         for node in holders:
-            rung = self._rung(node, session.ask)
+            rung = self._highest_rung(node, session.ask)
             if rung is None:
                 continue
             if self._is_cold(node):
                 rivals = rivals or self._rivals(holders, session.ask)
-                if not self._cold_turn(node, session.ask, rivals):
+                if not self._has_cold_turn(node, session.ask, rivals):
                     continue
             self._send(session, node, rung)
             return True
@@ -453,83 +480,83 @@
         self.held.pop(session.ask.session, None)
         session.sent_at = self.now
         if session.attempts and self.settings.extra_span_ms > 0:
-            self.extras.append(self.now)
+            self.extra_attempt_times.append(self.now)
         left = session.deadline - self.now
         klass = self._class(session.ask)
         if klass.repeat is fl.Repeat.FREE:
-            left = min(left, max(TRY_PART * klass.wanted_ms, 1.0))
+            left = min(left, max(ATTEMPT_FRACTION * klass.wanted_ms, 1.0))
         session.attempts += 1
         session.tried.append(node.info.node)
         session.state, session.node = _State.SETTING_UP, node
         node.sessions[session.ask.session] = session
         node.setting_up += 1
         node.sent_at = self.now
-        self._take_seat(session.ask, 1)
-        self._count(session, rung)
+        self._change_seats(session.ask, 1)
+        self._assign_rung(session, rung)
         self.actions.append(fl.SetRung(session.ask.session, rung))
         self.actions.append(fl.SetUp(session.ask.session, node.info.node, left))
 
-    def _count(self, session: _Session, rung: int) -> None:
-        """Book the session's rate at its node and rack."""
-        self._book(session, self._kb(session.ask, rung))
+    def _assign_rung(self, session: _Session, rung: int) -> None:
+        """Set the session's rung and count its rate at its node and rack."""
+        self._change_rate(session, self._rate_kb(session.ask, rung))
         session.rung = rung
-        self._sort_in(session)
+        self._update_raisable(session)
 
-    def _sort_in(self, session: _Session) -> None:
-        """Keep apart what may rise: a few among hundreds, looked through at every report."""
+    def _update_raisable(self, session: _Session) -> None:
+        """Keep the node's raisable sessions up to date: each report searches these few, not hundreds."""
         if session.node is not None:
             top = min(session.ask.best_rung, self._class(session.ask).top)
             if session.state is _State.PLAYING and session.rung < top:
-                session.node.low[session.ask.session] = session
+                session.node.raisable[session.ask.session] = session
             else:
-                session.node.low.pop(session.ask.session, None)
+                session.node.raisable.pop(session.ask.session, None)
 
-    def _book(self, session: _Session, kb: float) -> None:
-        self.rack_uses.clear()
+    def _change_rate(self, session: _Session, kb: float) -> None:
+        self.rack_use_cache.clear()
         if session.node is not None:
-            session.node.link.book(self.now, kb - session.kb)
-            session.node.rack.book(self.now, kb - session.kb)
+            session.node.link.record_change(self.now, kb - session.rate_kb)
+            session.node.rack.record_change(self.now, kb - session.rate_kb)
             if session.state is _State.PLAYING:
-                session.node.playing_kb += kb - session.kb
-                self.playing_kb += kb - session.kb
-        session.kb = kb
+                session.node.playing_kb += kb - session.rate_kb
+                self.playing_kb += kb - session.rate_kb
+        session.rate_kb = kb
 
-    def _plays(self, session: _Session, node: _Node, more: int) -> None:
-        """Count the session as playing at the node, or no longer."""
+    def _count_playing(self, session: _Session, node: _Node, more: int) -> None:
+        """Count the session as playing at the node (`more` is 1) or no longer (-1)."""
         self.playing += more
-        self.playing_kb = self.playing_kb + more * session.kb if self.playing else 0.0
-        node.playing_kb += more * session.kb
-        self._sort_in(session)
+        self.playing_kb = self.playing_kb + more * session.rate_kb if self.playing else 0.0
+        node.playing_kb += more * session.rate_kb
+        self._update_raisable(session)
 
     def _hold(self, session: _Session) -> None:
-        """Keep the request for a brief while, or give it up at once where no hold can help."""
+        """Hold the request for a short time, or give it up at once if the time for a hold is over."""
         if self._hold_ends(session) <= self.now:
             self._give_up(session)
         else:
             session.state = _State.HELD
             self.held[session.ask.session] = session
-            if not self.beating:
-                self.beating = True
-                self.actions.append(fl.SetTimer(BEAT_MS, 0))
+            if not self.recheck_scheduled:
+                self.recheck_scheduled = True
+                self.actions.append(fl.SetTimer(RECHECK_INTERVAL_MS, 0))
 
     def _hold_ends(self, session: _Session) -> float:
-        hold_ms = HOLD_PART * self._class(session.ask).wanted_ms
-        return min(session.asked_at + hold_ms, session.deadline - 2 * BEAT_MS)
+        hold_ms = HOLD_FRACTION * self._class(session.ask).wanted_ms
+        return min(session.requested_at + hold_ms, session.deadline - 2 * RECHECK_INTERVAL_MS)
 
     def _give_up(self, session: _Session) -> None:
-        """The final answer, at once: refused where nothing can have run, failed otherwise."""
-        name = session.ask.session
-        self.rack_uses.clear()
-        self.held.pop(name, None)
-        self.sessions.pop(name, None)
+        """Give the final answer: Fail if a set-up that is not free to repeat may have run, else Refuse."""
+        number = session.ask.session
+        self.rack_use_cache.clear()
+        self.held.pop(number, None)
+        self.sessions.pop(number, None)
         if session.may_have_run and self._class(session.ask).repeat is not fl.Repeat.FREE:
-            self.actions.append(fl.Fail(name))
+            self.actions.append(fl.Fail(number))
         else:
-            come_back = self.settings.come_back_max_ms if self.settings.come_back else 0.0
-            self.actions.append(fl.Refuse(name, come_back))
+            come_back_ms = self.settings.come_back_max_ms if self.settings.come_back else 0.0
+            self.actions.append(fl.Refuse(number, come_back_ms))
 
-    def _beat(self, _: fl.Wake) -> None:
-        self.beating = False
+    def _recheck_held(self, _: fl.Wake) -> None:
+        self.recheck_scheduled = False
         for session in list(self.held.values()):
             if not self._place(session):
                 self._hold(session)
@@ -540,40 +567,47 @@
             return
         session.state, session.answered = _State.PLAYING, True
         session.node.setting_up -= 1
-        self._plays(session, session.node, 1)
-        self._well(session.node)
+        self._count_playing(session, session.node, 1)
+        self._clear_failures(session.node)
 
     def _ended(self, event: fl.Ended) -> None:
         node = self.nodes.get(event.node)
-        self._heard(node, event.load)
+        self._load_reported(node, event.load)
         session = self.sessions.get(event.session)
         if session is None or session.node is None or session.attempts - 1 != event.attempt:
             return
         was_playing = session.state is _State.PLAYING
         same_process = session.node is node
-        self._leave(session)
+        self._detach(session)
         if node is not None and same_process:
-            self._judge(node, event.outcome, was_playing)
+            self._count_failure(node, event.outcome, was_playing)
         if event.outcome is fl.Outcome.FULL and node is not None:
-            self.rack_uses.clear()
+            self.rack_use_cache.clear()
             if self.settings.node_full_from > 0:
-                node.link.tell(max(1.0, self.settings.node_full_from, node.link.use or 0.0), self.now)
+                node.link.record_use(
+                    max(1.0, self.settings.node_full_from, node.link.reported_use or 0.0), self.now
+                )
             else:
-                # nodes that take set-ups however full their link is refuse for want of places: no news of the
-                # link, which a director without sessions there would believe for good, but a while's rest
-                node.link.short_until = self.now + SHORT_LASTS_MS
-        if event.outcome is fl.Outcome.NEVER_SENT and session.attempts > 1 and session.sent_at in self.extras:
-            self.extras.remove(session.sent_at)
+                # Without that setting nodes take set-ups however full their link is, and refuse for lack of
+                # slots. That says nothing of the link's use, and a director without sessions there might get
+                # no report that corrects it: pause the node instead.
+                node.link.short_until = self.now + SHORT_DURATION_MS
+        if (
+            event.outcome is fl.Outcome.NEVER_SENT
+            and session.attempts > 1
+            and session.sent_at in self.extra_attempt_times
+        ):
+            self.extra_attempt_times.remove(session.sent_at)
         session.may_have_run |= not event.outcome.proves_unrun
         if event.final or session.answered:
             self.sessions.pop(event.session, None)
-        elif not self._may_try_again(session):
+        elif not self._may_retry(session):
             self._give_up(session)
         elif not self._place(session):
             self._hold(session)
 
-    def _may_try_again(self, session: _Session) -> bool:
-        """Whether one more attempt is safe, worth it and allowed; a stated window is not relied on."""
+    def _may_retry(self, session: _Session) -> bool:
+        """Whether one more attempt is safe, useful and allowed; WINDOWED counts as not repeatable."""
         if session.may_have_run and self._class(session.ask).repeat is not fl.Repeat.FREE:
             return False
         return (
@@ -582,20 +616,20 @@
             and self._budget_allows()
         )
 
-    def _leave(self, session: _Session) -> None:
-        """Take the session off its node's counters."""
+    def _detach(self, session: _Session) -> None:
+        """Remove the session from the counters of its node."""
         node = session.node
         if node is None:
             return
-        self._take_seat(session.ask, -1)
+        self._change_seats(session.ask, -1)
         if session.state is _State.SETTING_UP:
             node.setting_up -= 1
         elif session.state is _State.PLAYING:
-            self._plays(session, node, -1)
+            self._count_playing(session, node, -1)
             session.state = _State.HELD
-        self._book(session, 0.0)
+        self._change_rate(session, 0.0)
         node.sessions.pop(session.ask.session, None)
-        node.low.pop(session.ask.session, None)
+        node.raisable.pop(session.ask.session, None)
         session.node, session.state = None, _State.HELD
 
     def _withdrawn(self, event: fl.Withdrawn) -> None:
@@ -614,131 +648,135 @@
         session = _Session(event.ask, self.now, self.now, _State.PLAYING, True, attempts=1, node=node)
         self.sessions[event.ask.session] = session
         node.sessions[event.ask.session] = session
-        self._take_seat(event.ask, 1)
-        self._plays(session, node, 1)
-        self._count(session, self._class(event.ask).floor)
+        self._change_seats(event.ask, 1)
+        self._count_playing(session, node, 1)
+        self._assign_rung(session, self._class(event.ask).floor)
 
-    # ---- Rung care while playing --------------------------------------------------------------------------
+    # ---- Rung changes while playing -----------------------------------------------------------------------
     def _step_down(self, session: _Session) -> tuple[float, float]:
-        """What one rung less saves, kB a second, and what it loses in worth for each of them."""
+        """What one rung less saves, kB/s, and the worth that it loses per kB/s."""
         ask, s = session.ask, self.settings
-        saved = session.kb - self._kb(ask, session.rung - 1)
+        saved = session.rate_kb - self._rate_kb(ask, session.rung - 1)
         lost = s.ladder_worth[session.rung] - s.ladder_worth[session.rung - 1] + self._change_cost(session)
         return saved, self._class(ask).worth * lost / saved
 
     def _step_up(self, session: _Session) -> tuple[float, float]:
-        """What one rung more asks, kB a second, and what it gains in worth for each of them."""
+        """What one rung more costs, kB/s, and the worth that it gains per kB/s."""
         ask, s = session.ask, self.settings
-        added = self._kb(ask, session.rung + 1) - session.kb
+        added = self._rate_kb(ask, session.rung + 1) - session.rate_kb
         gained = s.ladder_worth[session.rung + 1] - s.ladder_worth[session.rung]
-        return added, self._class(ask).worth * (gained - RAISE_REPAYS * self._change_cost(session)) / added
+        return added, self._class(ask).worth * (
+            gained - RAISE_GAIN_FACTOR * self._change_cost(session)
+        ) / added
 
     def _change_cost(self, session: _Session) -> float:
-        """A change of rung as a part of what the rest of the session can earn; free before it plays."""
+        """Cost of a rung change as a fraction of what the rest of the session can earn; 0 before it plays."""
         if session.state is not _State.PLAYING:
             return 0.0
-        left = LEFT_S
+        left = EXPECTED_REST_S
         if session.ask.length_ms is not None:
-            left = max((session.ask.length_ms + session.asked_at - self.now) / 1000.0, LEFT_LEAST_S)
+            left = max(
+                (session.ask.length_ms + session.requested_at - self.now) / 1000.0, MIN_EXPECTED_REST_S
+            )
         return self.settings.rung_change_s / left
 
     def _sessions_on(self, pipe: _Pipe) -> list[_Session]:
         return [session for node in pipe.nodes for session in node.sessions.values()]
 
-    def _cheapest_down(self, sessions: list[_Session]) -> _Session | None:
+    def _cheapest_to_lower(self, sessions: list[_Session]) -> _Session | None:
         low = [s for s in sessions if s.rung > self._class(s.ask).floor]
         return min(low, key=lambda s: (self._step_down(s)[1], s.ask.session), default=None)
 
     def _set_rung(self, session: _Session, rung: int) -> None:
-        self._count(session, rung)
+        self._assign_rung(session, rung)
         self.actions.append(fl.SetRung(session.ask.session, rung))
 
-    def _shed(self, pipe: _Pipe, use: float) -> None:
-        """Lowers own sessions on a pipe asked for more than it gives, by this director's part of the excess.
+    def _lower_sessions(self, pipe: _Pipe, use: float) -> None:
+        """Lower own sessions on an overloaded link or uplink by this director's part of the excess.
 
-        Every director there hears the same news, so each cuts its own part, once for news of each moment.
-        Parts are rounded to whole steps at random, so that the sum over many directors comes out right.
+        All directors with sessions there get the same reports, so each cuts its own part, once per report.
+        The part is rounded to whole steps at random, so that the sum over many directors comes out right.
         """
-        if use <= FULL:
+        if use <= LOWER_ABOVE_USE:
             return
-        pipe.shed_at = pipe.strained_at = self.now
+        pipe.lowered_at = pipe.overloaded_at = self.now
         sessions = self._sessions_on(pipe)
-        cut = pipe.own_kb * (1 - SHED_TO / use)
-        while (session := self._cheapest_down(sessions)) is not None:
+        excess_kb = pipe.own_kb * (1 - LOWER_TO_USE / use)
+        while (session := self._cheapest_to_lower(sessions)) is not None:
             saved = self._step_down(session)[0]
-            if cut < saved * self.random.random():
+            if excess_kb < saved * self.random.random():
                 break
-            cut -= saved
+            excess_kb -= saved
             self._set_rung(session, session.rung - 1)
 
-    def _raise(self, rack: _Pipe) -> None:
-        """Raises sessions where room has lasted and the gain repays the change, a little at a time.
+    def _raise_sessions(self, rack: _Pipe) -> None:
+        """Raise a few own sessions of the rack if there was room for long enough and the gain is worth it.
 
-        Others see the same room, so each takes what its sessions are of all that is asked there, rounded to
-        whole steps at random: with a part for each director, many directors would raise nothing.
+        Other directors see the same room, so each takes the part that its sessions have of all rates there,
+        rounded to whole steps at random: with equal parts, many directors would raise nothing.
         """
-        if self.now < rack.strained_at + self.raise_after:
+        if self.now < rack.overloaded_at + self.raise_delay_ms:
             return
-        taken, luck = 0.0, self.random.random()
-        nodes = [n for n in rack.nodes if n.low and self._may_raise(n)]
-        ups = [(self._step_up(s), s) for node in nodes for s in node.low.values()]
-        if not ups:
+        raised_kb, draw = 0.0, self.random.random()
+        nodes = [n for n in rack.nodes if n.raisable and self._may_raise(n)]
+        raises = [(self._step_up(s), s) for node in nodes for s in node.raisable.values()]
+        if not raises:
             return
-        uplink = [(self._rack_use(rack), rack)] if rack.kb < math.inf else []
-        for (added, gain), session in sorted(ups, key=lambda up: (-up[0][1], up[1].ask.session)):
+        uplink = [(self._rack_use(rack), rack)] if rack.capacity_kb < math.inf else []
+        for (added, gain), session in sorted(raises, key=lambda entry: (-entry[0][1], entry[1].ask.session)):
             node = session.node
-            if node is None or gain <= 0 or node.link.moment <= node.link.raised_at:
+            if node is None or gain <= 0 or node.link.use_at <= node.link.raised_at:
                 continue
-            mark = self.marks[session.ask.klass][session.rung + 1] - RAISE_GAP
+            target = self.target_uses[session.ask.klass][session.rung + 1] - RAISE_MARGIN
             pipes = [(self._link_use(node), node.link), *uplink]
-            parts = [(mark / max(use, 1e-9) - 1) * pipe.own_kb for use, pipe in pipes]
-            fits = all(use + added / pipe.kb <= mark for use, pipe in pipes)
-            if fits and added * luck <= parts[0] and taken + added * luck <= RAISE_PART * parts[-1]:
-                taken += added
+            parts = [(target / max(use, 1e-9) - 1) * pipe.own_kb for use, pipe in pipes]
+            fits = all(use + added / pipe.capacity_kb <= target for use, pipe in pipes)
+            if fits and added * draw <= parts[0] and raised_kb + added * draw <= RAISE_FRACTION * parts[-1]:
+                raised_kb += added
                 node.link.raised_at = self.now
                 self._set_rung(session, session.rung + 1)
 
     def _may_raise(self, node: _Node) -> bool:
-        """Whether its link has been well for long enough, and was heard of since its last raise."""
+        """Whether the link has had room for long enough, and was reported on since its last raise."""
         link = node.link
-        return self.now - link.strained_at >= self.raise_after and link.moment > link.raised_at
+        return self.now - link.overloaded_at >= self.raise_delay_ms and link.use_at > link.raised_at
 
     # ---- Guards -------------------------------------------------------------------------------------------
-    def _list(self, event: fl.NodeList) -> None:
+    def _list_received(self, event: fl.NodeList) -> None:
         if event.kind is fl.ListKind.FAILED:
             if self.settings.list_by_ask:
-                self.ask_list_at = self.now + ASK_LIST_MS
-                self.actions.append(fl.SetTimer(ASK_LIST_MS, 1))
+                self.retry_list_at = self.now + RETRY_LIST_MS
+                self.actions.append(fl.SetTimer(RETRY_LIST_MS, 1))
             return
-        named = {info.node for info in event.nodes}
+        listed = {info.node for info in event.nodes}
         for info in event.nodes:
-            self._listed(info, event.kind)
+            self._update_node(info, event.kind)
         if event.kind is not fl.ListKind.DELTA:
-            for name in [name for name in self.nodes if name not in named]:
-                self._forget(name)
+            for name in [name for name in self.nodes if name not in listed]:
+                self._remove_node(name)
 
-    def _pipe(self, kb: float) -> _Pipe:
-        kb = kb if kb >= LEAST_KB else LEAST_KB
-        return _Pipe(kb, kb, strained_at=self.now - (1 - RAISE_FIRST) * self.raise_after)
+    def _new_pipe(self, kb: float) -> _Pipe:
+        kb = kb if kb >= MIN_CAPACITY_KB else MIN_CAPACITY_KB
+        return _Pipe(kb, kb, overloaded_at=self.now - (1 - FIRST_RAISE_FRACTION) * self.raise_delay_ms)
 
-    def _forget(self, name: int) -> None:
+    def _remove_node(self, name: int) -> None:
         node = self.nodes.pop(name, None)
         if node is not None:
             node.rack.nodes.remove(node)
             self.cells[node.info.cell].remove(node)
 
-    def _listed(self, info: fl.NodeInfo, kind: fl.ListKind) -> None:
+    def _update_node(self, info: fl.NodeInfo, kind: fl.ListKind) -> None:
         node = self.nodes.get(info.node)
         if info.status is fl.Status.GONE or (node is not None and node.info.cell != info.cell):
-            self._forget(info.node)
+            self._remove_node(info.node)
             node = None
         if info.status is fl.Status.GONE:
             return
         if node is None:
-            link = self._pipe(info.weight * self.settings.link_kb_per_weight)
+            link = self._new_pipe(info.weight * self.settings.link_kb_per_weight)
             number = info.cell % max(self.settings.racks, 1)
             uplink_kb = self.settings.uplink_kb
-            rack = self.racks.setdefault(number, self._pipe(uplink_kb if uplink_kb > 0 else math.inf))
+            rack = self.racks.setdefault(number, self._new_pipe(uplink_kb if uplink_kb > 0 else math.inf))
             node = self.nodes[info.node] = _Node(info, link, rack)
             link.nodes.append(node)
             rack.nodes.append(node)
@@ -746,8 +784,8 @@
             if kind is fl.ListKind.CACHED:
                 node.cold_since = self.now  # a cached list may be stale: the node may have restarted since
         elif info.started_ms != node.info.started_ms:
-            node.link.use = None
-            node.strikes, node.suspensions, node.suspended_until = 0, 0, 0.0
+            node.link.reported_use = None
+            node.failures, node.suspensions, node.suspended_until = 0, 0, 0.0
         node.info = info
         if info.started_ms > 0:
             node.cold_since = max(node.cold_since, info.started_ms)
@@ -756,99 +794,107 @@
         return self.now - node.cold_since < self.settings.warm_up_ms
 
     def _rivals(self, holders: list[_Node], ask: fl.Ask) -> list[tuple[float, bool]]:
-        """Own work at each holder with room, and whether the holder is cold."""
-        return [(self._work(n), self._is_cold(n)) for n in holders if self._rung(n, ask) is not None]
+        """Own work at each holder with room, and whether that holder is cold."""
+        return [(self._work(n), self._is_cold(n)) for n in holders if self._highest_rung(n, ask) is not None]
 
-    def _recent_asks(self, cell: int) -> float:
-        """Requests that the cell could serve, of about the last warm-up time."""
-        count, moment = self.cell_asks.get(cell, (0.0, 0.0))
+    def _recent_requests(self, cell: int) -> float:
+        """Decayed count of requests that the cell could serve, over about the last warm-up time."""
+        count, moment = self.cell_requests.get(cell, (0.0, 0.0))
         return count * math.exp((moment - self.now) / max(self.settings.warm_up_ms, 1.0))
 
-    def _ask_rate(self, cell: int) -> float:
-        """The same a ms, over what this director has run of it: a fresh one must not think it quiet."""
+    def _request_rate(self, cell: int) -> float:
+        """The same per ms that this director has run, so that it is not too low right after a start."""
         span = max(self.settings.warm_up_ms, 1.0)
-        seen = span * (1 - math.exp((self.started_at - self.now) / span))
-        return self._recent_asks(cell) / max(seen, 1.0)
+        observed_ms = span * (1 - math.exp((self.started_at - self.now) / span))
+        return self._recent_requests(cell) / max(observed_ms, 1.0)
 
-    def _fleet_asks(self, node: _Node, ask: fl.Ask, gap: float) -> float:
-        """Requests that all directors together have for the node's cell within one turn, by this one's own.
+    def _fleet_requests(self, node: _Node, ask: fl.Ask, turn_ms: float) -> float:
+        """Requests of all directors for the node's cell within one turn, estimated from this director's own.
 
-        For a node known to be cold, by the list or as it failed, those for the cell itself count, as a title
-        may draw a crowd, and while some are held, those that have gathered. A node that only may be cold, as
-        all are in a cached list, is taken to draw as much as any: else a fresh fleet would refuse most.
+        For a node known to be cold, by the list or since it failed, the rate of the cell itself counts,
+        as a title may be in high demand; while requests are held, those accumulated count too. A node that
+        only may be cold, as all nodes of a cached list, gets the mean rate: otherwise a fleet that
+        has just started would refuse most requests.
         """
         s = self.settings
-        mean = self._ask_rate(ALL_CELLS) * min(ask.holders / s.cells, 1.0)
+        mean = self._request_rate(ALL_CELLS) * min(ask.holders / s.cells, 1.0)
         if node.info.started_ms <= self.now - s.warm_up_ms and node.cold_since <= self.started_at:
-            return s.directors * mean * gap
-        gathered = HOLD_PART * self._class(ask).wanted_ms if self.held else 0.0
-        rate = min(self._ask_rate(node.info.cell), CROWD_MAX * mean)
-        return s.directors * rate * (gap + gathered)
-
-    def _cold_turn(self, node: _Node, ask: fl.Ask, rivals: list[tuple[float, bool]]) -> bool:
-        """Keeps this director's set-ups to a cold node within its own part of the node's budget.
-
-        Directors take turns counted from the node's start, so that none needs to hear of another. As many
-        share a turn as together have few requests that would go there: a turn for each of hundreds would come
-        after the warm-up. Of the rivals with as little work and room, a warm one draws an equal part and a
-        cold one only what its own turn takes. Nodes of a cached list count as cold, which keeps a restarted
-        director from flooding the first it sees, and so do nodes that fail: all that saw it wait for them.
-        Own sends keep a whole round of turns apart: few directors stay within the budget whoever has the
-        turn. Costs room where a node was warm after all.
+            return s.directors * mean * turn_ms
+        accumulated_ms = HOLD_FRACTION * self._class(ask).wanted_ms if self.held else 0.0
+        rate = min(self._request_rate(node.info.cell), MAX_CELL_RATE_RATIO * mean)
+        return s.directors * rate * (turn_ms + accumulated_ms)
+
+    def _has_cold_turn(self, node: _Node, ask: fl.Ask, rivals: list[tuple[float, bool]]) -> bool:
+        """Whether it is this director's turn to send a set-up to a cold node, within the node's budget.
+
+        Directors take turns counted from the node's start, so they need not communicate. Several directors
+        share a turn if together they have few requests for the node: with hundreds of directors and a turn
+        for each, most turns would come after the warm-up. Of the rivals with room and no more work, a warm
+        one takes an equal part of the requests and a cold one only what its turn allows. Nodes of a cached
+        list count as cold, so that a restarted director does not flood the first nodes that it sees; so do
+        nodes that failed. A director's own set-ups are a whole round of turns apart, so that a few directors
+        stay within the budget whoever has the turn. If the node was warm after all, its room stays unused.
         """
         s = self.settings
         slots = s.kind_slots[node.info.kind] if node.info.kind < len(s.kind_slots) else min(s.kind_slots)
-        gap = s.warm_up_ms / (slots * s.cold_from * s.cold_multiple * COLD_PART)
-        if node.sent_at >= node.cold_since and self.now - node.sent_at < gap * s.directors:
+        turn_ms = s.warm_up_ms / (slots * s.cold_from * s.cold_multiple * COLD_BUDGET_FRACTION)
+        if node.sent_at >= node.cold_since and self.now - node.sent_at < turn_ms * s.directors:
             return False
-        asks = self._fleet_asks(node, ask, gap)
+        requests = self._fleet_requests(node, ask, turn_ms)
         work = self._work(node)
-        equal = [cold for other, cold in rivals if other <= work]  # with the node itself
+        equal = [cold for other, cold in rivals if other <= work]  # includes the node itself
         also_cold = sum(equal) - 1
-        turns = math.ceil((asks / COLD_FILL - also_cold) / (len(equal) - also_cold))
+        turns = math.ceil((requests / COLD_TURN_REQUESTS - also_cold) / (len(equal) - also_cold))
         turns = min(max(turns, 1), s.directors)
-        return (int((self.now - node.cold_since) // gap) + node.info.node) % turns == s.director % turns
+        return (int((self.now - node.cold_since) // turn_ms) + node.info.node) % turns == s.director % turns
 
-    def _judge(self, node: _Node, outcome: fl.Outcome, was_playing: bool) -> None:
-        """Suspends a node that breaks, cannot be reached or does not start what it was sent.
+    def _count_failure(self, node: _Node, outcome: fl.Outcome, was_playing: bool) -> None:
+        """Suspend a node that breaks, cannot be reached or does not start what it was sent.
 
-        One guard for every way to be sick: dead, cut off, hung, slow. One error may be the session's own.
-        Hurts where many set-ups are slow at once; where all holders are suspended they are used all the same.
+        One rule covers nodes that are dead, cut off, hung or slow. A single error may be the session's own
+        fault. The rule does harm where many set-ups are slow at once; if all holders are suspended, they are
+        used all the same.
         """
         if outcome is fl.Outcome.ERROR and not was_playing:
-            node.strikes += 1
+            node.failures += 1
         elif outcome in (fl.Outcome.RESET, fl.Outcome.CONNECT_FAILED, fl.Outcome.TIMEOUT):
-            node.strikes += STRIKES
+            node.failures += MAX_FAILURES
         else:
             return
-        if node.strikes >= STRIKES and self.now >= node.suspended_until:
-            node.suspended_until = self.now + min(SUSPEND_MS * 2**node.suspensions, SUSPEND_MAX_MS)
+        if node.failures >= MAX_FAILURES and self.now >= node.suspended_until:
+            node.suspended_until = self.now + min(
+                FIRST_SUSPENSION_MS * 2**node.suspensions, MAX_SUSPENSION_MS
+            )
             node.suspensions += 1
-            node.cold_since = max(node.cold_since, self.now)  # it may return cold, and others wait for it too
+            node.cold_since = max(
+                node.cold_since, self.now
+            )  # it may return cold, and other directors wait for it too
 
-    def _well(self, node: _Node) -> None:
-        """A set-up has started: the node is trusted again, at a cold node's pace if it was suspended."""
+    def _clear_failures(self, node: _Node) -> None:
+        """A set-up has started: end the suspension. A node that was suspended counts as cold."""
         if node.suspensions:
             node.cold_since = max(node.cold_since, node.sent_at)  # it may have restarted since it failed
-        node.strikes = node.suspensions = 0
+        node.failures = node.suspensions = 0
 
     def _seat_free(self, ask: fl.Ask) -> bool:
         seats = self._class(ask).seats
         return seats <= 0 or self.seats.get((ask.title, ask.klass), 0) < seats
 
-    def _take_seat(self, ask: fl.Ask, more: int) -> None:
+    def _change_seats(self, ask: fl.Ask, more: int) -> None:
         seat = (ask.title, ask.klass)
         self.seats[seat] = self.seats.get(seat, 0) + more
         if not self.seats[seat]:
             del self.seats[seat]
 
     def _trim_budget(self) -> None:
-        for log in (self.asks, self.extras):
+        for log in (self.request_times, self.extra_attempt_times):
             while log and log[0] <= self.now - self.settings.extra_span_ms:
                 log.popleft()
 
     def _budget_allows(self) -> bool:
-        """Whether one attempt more keeps the stated budget of attempts beyond each session's first."""
+        """Whether one more attempt stays within the budget of attempts beyond each session's first."""
         s = self.settings
         self._trim_budget()
-        return s.extra_span_ms <= 0 or len(self.extras) + 1 <= s.extra_free + s.extra_ratio * len(self.asks)
+        return s.extra_span_ms <= 0 or len(
+            self.extra_attempt_times
+        ) + 1 <= s.extra_free + s.extra_ratio * len(self.request_times)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -97,7 +97,7 @@
 class PaysTwice(Director):
     """Sends a paid set-up again though it may have run."""
 
-    def _may_try_again(self, session: Any) -> bool:
+    def _may_retry(self, session: Any) -> bool:
         return bool(session.attempts < 3)
 
 
@@ -128,8 +128,8 @@
 class IgnoresDrains(Director):
     """Takes every listed box for ready."""
 
-    def _listed(self, info: fl.NodeInfo, kind: fl.ListKind) -> None:
-        super()._listed(replace(info, status=fl.Status.READY), kind)
+    def _update_node(self, info: fl.NodeInfo, kind: fl.ListKind) -> None:
+        super()._update_node(replace(info, status=fl.Status.READY), kind)
 
 
 @pytest.mark.parametrize("make", [Director, IgnoresDrains])
@@ -149,7 +149,7 @@
 class HeedsNoCold(Director):
     """Sends a cold box all that comes."""
 
-    def _cold_turn(self, node: Any, ask: fl.Ask, rivals: Any) -> bool:
+    def _has_cold_turn(self, node: Any, ask: fl.Ask, rivals: Any) -> bool:
         return True
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -101,7 +101,7 @@
 def test_the_judge_sees_cold_servers_fall_where_directors_keep_no_pace(
     directors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Director, "_cold_turn", lambda *_: True)
+    monkeypatch.setattr(Director, "_has_cold_turn", lambda *_: True)
     assert play(replaced_under_a_crowd, directors, 1).broken > 0
     if directors > 2:
         assert play(all_restarted, directors, 1).broken > 0
--- a/tests/test_module_bounds.py
+++ b/tests/test_module_bounds.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from foxlift import interface as fl
-from foxlift.logic import LEAST_KB, LEAST_SHARE, Director
+from foxlift.logic import MIN_CAPACITY_KB, MIN_SHARE, Director
 
 NODES, SESSIONS = 6, 8
 MEASURES = st.sampled_from([0.0, 1e-300, 0.05, 0.5, 0.97, 1.0, 1.2, 30.0, 1e6, 1e300])
@@ -104,11 +104,11 @@
     """Every size, rate and count that others are divided by or compared with."""
     for node in made.nodes.values():
         for pipe in (node.link, node.rack):
-            assert pipe.kb >= LEAST_KB
+            assert pipe.capacity_kb >= MIN_CAPACITY_KB
             assert math.isfinite(pipe.own_kb) and pipe.own_kb > -1e-3
-            assert pipe.use is None or 0 <= pipe.use < math.inf
+            assert pipe.reported_use is None or 0 <= pipe.reported_use < math.inf
         assert node.setting_up >= 0 and math.isfinite(node.playing_kb)
-    assert 0 <= made.usual_use <= 1 / LEAST_SHARE
+    assert 0 <= made.mean_use <= 1 / MIN_SHARE
     assert made.playing >= 0 and math.isfinite(made.playing_kb)
     assert all(count > 0 for count in made.seats.values())
     assert all(0 <= s.rung < len(made.settings.ladder_kb) for s in made.sessions.values())
@@ -150,7 +150,7 @@
 def test_a_rack_that_delivers_nothing_keeps_a_size_and_the_next_request_its_answer(share: float) -> None:
     made = cut_off_rack(share)
     rack = made.nodes[0].rack
-    assert rack.kb >= LEAST_SHARE * rack.own_kb > LEAST_KB
+    assert rack.capacity_kb >= MIN_SHARE * rack.own_kb > MIN_CAPACITY_KB
     actions = made.handle(9000.0, ask(50, holders=6))  # no note came since: the shortage is not known to last
     assert only(actions, fl.SetUp) or only(actions, fl.SetTimer)
 
@@ -160,4 +160,4 @@
     made.handle(0.0, fl.Probed(0, fl.Outcome.OK, 1.0, fl.Load(link=1e300)))
     for _ in range(40):
         made.handle(1.0, fl.Probed(0, fl.Outcome.OK, 1.0, fl.Load(link=0.3)))
-    assert made.usual_use == pytest.approx(0.3, rel=0.5)
+    assert made.mean_use == pytest.approx(0.3, rel=0.5)
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -57,13 +57,13 @@
         self._amid("placing")
         return super()._place(session)
 
-    def _count(self, session: _Session, rung: int) -> None:
+    def _assign_rung(self, session: _Session, rung: int) -> None:
         self._amid("sending")
-        super()._count(session, rung)
+        super()._assign_rung(session, rung)
 
-    def _raise(self, rack: _Pipe) -> None:
+    def _raise_sessions(self, rack: _Pipe) -> None:
         self._amid("raising")
-        super()._raise(rack)
+        super()._raise_sessions(rack)
 
 
 def faulty(world: World) -> Faulty:
--- a/tests/test_plan_event.py
+++ b/tests/test_plan_event.py
@@ -63,7 +63,7 @@
 def test_shares_that_make_no_sense_are_no_plan(shares: tuple[float, ...]) -> None:
     made = three_zones()
     made.handle(0.5, fl.ZoneShares(shares))
-    assert made.shares == ()
+    assert made.zone_shares == ()
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -243,7 +243,7 @@
 
     class Anew(Director):
         def _rack_use(self, rack: _Pipe) -> float:
-            self.rack_uses.clear()
+            self.rack_use_cache.clear()
             return super()._rack_use(rack)
 
     settings = replace(SETTINGS, cells=6, racks=2, directors=3, uplink_kb=9000.0, report_every_ms=1500.0)
@@ -271,7 +271,7 @@
                 plays = {
                     n for n, s in node.sessions.items() if s.state is _State.PLAYING and s.rung < best[n]
                 }
-                assert set(node.low) == plays
+                assert set(node.raisable) == plays
                 low += len(plays)
 
         tell(full(*(replace(info(node), cell=node) for node in range(6))))
--- a/tests/test_scale_load.py
+++ b/tests/test_scale_load.py
@@ -51,17 +51,17 @@
 def test_a_core_under_load_serves_every_message_it_is_given() -> None:
     loaded = core_with_sessions(200, 10)
     assert loaded.core.counts["started"] == 200 and len(loaded.standing) == 200
-    heard = loaded.core.module.news
+    heard = loaded.core.module.use_samples
     loaded.report(loaded.prepare_reports(20, link_report))
     loaded.report(loaded.prepare_reports(20, delivery_note))
-    assert loaded.core.module.news > heard
+    assert loaded.core.module.use_samples > heard
     loaded.report(loaded.prepare_releases(150))
     assert len(loaded.core.sessions) == len(loaded.standing) == 50
     assert loaded.core.counts["ended, ok"] == 150
 
 
 def _below_best_rung(loaded: CoreUnderLoad) -> int:
-    return sum(len(node.low) for node in loaded.core.module.nodes.values())
+    return sum(len(node.raisable) for node in loaded.core.module.nodes.values())
 
 
 def test_sessions_that_are_set_up_on_nearly_full_links_play_below_their_best_rung() -> None:
