--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -128,7 +128,7 @@
             case ev.ParkedSessionMissing(number):
                 self._place_gone(number)
             case ev.NoticeStreamClosed(node):
-                self._link(node, ln.StreamBroken())
+                self._link(node, ln.Disconnected())
             case ev.LinkTimerDue(node, timer):
                 self._link(node, timer)
             case ev.ModuleTimerDue(token):
@@ -237,7 +237,7 @@
                     self._open(session, self._asked[request], place)
                 case ts.SendManifest(request, session):
                     self._out.append(ev.AnswerManifest(request, self.sessions[session]))
-                case ts.AnswerFailed(request, session):
+                case ts.SendFailure(request, session):
                     self._out.append(ev.AnswerFailed(request, session))
                 case ts.Reject(request, why):
                     self._out.append(ev.AnswerRejected(request, why))
@@ -245,7 +245,7 @@
                     self._withdraw(session)
                 case ts.QueryOwner(request):
                     self._out.append(ev.FindSession(request, self._token_of(request)))
-                case ts.AnswerRefused() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
+                case ts.SendRefusal() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
                     raise AssertionError("told by whoever asked for it")
 
     def _open(self, number: int, asked: ev.ManifestRequested, place: ts.ParkedLocation | None) -> None:
@@ -296,7 +296,7 @@
         session = self.sessions[number]
         session.withdrawn = True
         self._tell(fl.Withdrawn(number))
-        self._attempt(at.Cancel(number))
+        self._attempt(at.CancelSession(number))
         if number in self.sessions and not self.attempts.has_attempt(number):
             self._over(session, ran=False)
 
@@ -413,7 +413,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.SetRung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp():
                 self._set_up(action)
             case fl.Refuse(number, come_back_ms):
@@ -425,7 +425,7 @@
             case fl.SetTimer(delay_ms, token):
                 self._out.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
-                self._attempt(at.Cancel(number))
+                self._attempt(at.CancelSession(number))
             case fl.Log(text):
                 self._out.append(ev.WriteLog("module", detail=text))
             case fl.WatchList() | fl.FetchList():
@@ -457,7 +457,7 @@
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._turned_away(number, "refused")
         for answer in self.token_sessions.handle(self._now / 1000, ts.Refused(number)):
-            if isinstance(answer, ts.AnswerRefused):
+            if isinstance(answer, ts.SendRefusal):
                 self._out.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
@@ -471,7 +471,7 @@
         self.sessions.pop(session.number, None)
         session.closed = True
         self._out.append(ev.SessionClosed(session))
-        self._claim(ts.Ended(session.number, ran))
+        self._claim(ts.SessionEnded(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
@@ -492,7 +492,7 @@
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
                     self._out.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
-                case at.SendSetUp():
+                case at.StartSetUp():
                     self._put(action)
                 case at.SendRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
@@ -505,7 +505,7 @@
                 case at.AbortSetUp() | at.Release():
                     self._out.append(action)
 
-    def _put(self, put: at.SendSetUp) -> None:
+    def _put(self, put: at.StartSetUp) -> None:
         session = self.sessions[put.session]
         self._out.append(
             ev.SendSetUp(
@@ -537,7 +537,7 @@
             ):
                 if value is not None:
                     self._tell(fl.Note(told.session, told.node, kind, value))
-        self._claim(ts.Started(told.session))
+        self._claim(ts.SessionStarted(told.session))
 
     def _opened(self, session: ev.Session, when: int, set_up: str) -> lg.Started:
         token = session.token
