--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -15,7 +15,7 @@
 from foxlift.membership.boxlist import encode_full, read_response
 from foxlift.peers import view
 from foxlift.peers.messages import MOST_UPDATES, Ping, State, Update
-from foxlift.platform import feed
+from foxlift.platform import discovery_watch
 from foxlift.recovery import takeover
 from foxlift.zones import common
 from foxlift.zones.evidence import Evidence, Report, Sight
@@ -235,8 +235,10 @@
 
 
 def _whole_frame(servers: int) -> bytes:
-    head = feed._HEAD.pack(feed._HEAD.size - 4 + feed._RECORD.size * servers, 1, 1)
-    record = feed._RECORD.pack
+    head = discovery_watch._FRAME_HEADER.pack(
+        discovery_watch._FRAME_HEADER.size - 4 + discovery_watch._SERVER_RECORD.size * servers, 1, 1
+    )
+    record = discovery_watch._SERVER_RECORD.pack
     rows = (
         record(number, 10, 1, number >> 8 & 255, number & 255, 5060, 0, number % 9, 0, 0, 1000, 0)
         for number in range(servers)
@@ -250,7 +252,7 @@
 
 def _reading_a_frame(servers: int) -> Sample:
     frame = _whole_frame(servers)
-    return processor_ms(lambda: feed.Reader(9, 1, 1).feed(frame), rounds=5)
+    return processor_ms(lambda: discovery_watch.FrameReader(9, 1, 1).feed(frame), rounds=5)
 
 
 SERVER_SIZES = (300, 1_000, 3_000, 10_000, 30_000)
--- a/bench/scale/data_path_scans.py
+++ b/bench/scale/data_path_scans.py
@@ -49,7 +49,7 @@
     config = platform_config(SERVERS)
     core = Core(config)
     for told in config.known:
-        core.handle(NOW_MS, events.Listed(told))
+        core.handle(NOW_MS, events.ListUpdated(told))
     for number in range(1, sessions + 1):
         server = 1 + number % (SERVERS - 1)
         start = viewers.Start(
@@ -57,17 +57,17 @@
             klass="free",
             tenant="acme",
             title=f"{number % 1000:016x}",
-            left_ms=0.0,
-            hint_ms=60_000.0,
+            remaining_ms=0.0,
+            length_hint_ms=60_000.0,
             first_cell=server % 4,
             holders=1,
-            top=3,
+            top_rung=3,
             viewer=number,
             again=False,
             plays_at=server,
             description="v=0",
         )
-        core.handle(NOW_MS, events.FromViewer(number, start))
+        core.handle(NOW_MS, events.ViewerMessageReceived(number, start))
     if len(core.sessions) != sessions:
         raise RuntimeError(f"{len(core.sessions)} sessions stand, {sessions} wanted")
     return core
@@ -75,19 +75,19 @@
 
 def _lost_connection(sessions: int) -> Sample:
     core = core_with_sessions(sessions)
-    lost = events.BoxConnectionLost(EMPTY_SERVER, 1)
+    lost = events.ServerConnectionLost(EMPTY_SERVER, 1)
     return processor_ms(lambda: core.handle(NOW_MS, lost))
 
 
 def _lost_server(sessions: int) -> Sample:
     core = core_with_sessions(sessions)
-    lost = events.BoxLost(EMPTY_SERVER, "refused")
+    lost = events.ServerLost(EMPTY_SERVER, "refused")
     return processor_ms(lambda: core.handle(NOW_MS, lost))
 
 
 def _restarted_server(sessions: int) -> Sample:
     core = core_with_sessions(sessions)
-    known = platform_config(1).known[0].boxes[EMPTY_SERVER]
+    known = platform_config(1).known[0].servers[EMPTY_SERVER]
     starts = iter(range(1, 10**6))
 
     def restart() -> None:
@@ -100,7 +100,10 @@
             1.0,
             next(starts),
         )
-        core.handle(NOW_MS, events.Listed(settings.Told(2, False, (settings.Box(info, known.address),))))
+        core.handle(
+            NOW_MS,
+            events.ListUpdated(settings.ListUpdate(2, False, (settings.ListedServer(info, known.address),))),
+        )
 
     return processor_ms(restart)
 
@@ -146,7 +149,7 @@
         for number in range(connections):
             connection = SimpleNamespace(transport=_Written())
             director._clients[number] = cast(ClientConnection, connection)
-        return processor_ms(director._look)
+        return processor_ms(director._check_stop)
     finally:
         loop.close()
 
--- a/bench/scale/discovery.py
+++ b/bench/scale/discovery.py
@@ -1,8 +1,8 @@
 """Figures of the server list: its bytes, what reading it costs, and one source's fan-out to all watches.
 
 The list of `foxlift serve` is JSON (`foxlift.membership`), that of `foxlift run` a binary feed
-(`foxlift.platform.feed`). The source is a stand-in: its bytes are the protocol's, its processor time is not
-the program's and is not measured.
+(`foxlift.platform.discovery_watch`). The source is a stand-in: its bytes are the protocol's, its processor
+time is not the program's and is not measured.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from foxlift import interface as fl
 from foxlift.membership import BoxEntry, BoxList, read_response
 from foxlift.membership.boxlist import encode_full
-from foxlift.platform import feed
+from foxlift.platform import discovery_watch
 from foxlift.platform.settings import Address
 
 ZONES = 9
@@ -88,8 +88,8 @@
     ]
 
 
-def _reader() -> feed.Reader:
-    return feed.Reader(ZONES, 1, 4)
+def _reader() -> discovery_watch.FrameReader:
+    return discovery_watch.FrameReader(ZONES, 1, 4)
 
 
 # ---- Fan-out ----------------------------------------------------------------------------------------------
@@ -142,7 +142,7 @@
 
     def __init__(self, seed: int) -> None:
         self.reader = _reader()
-        self.machine = feed.Feed(Address("127.0.0.1", 1), 0, seed)
+        self.machine = discovery_watch.DiscoveryWatch(Address("127.0.0.1", 1), 0, seed)
         self.machine.start()
 
     @property
@@ -153,15 +153,15 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Connected to the source: ask for what follows the last event held."""
         self.transport = cast(asyncio.Transport, transport)
-        for action in self.machine.handle(_now_ms(), feed.Opened()):
-            if isinstance(action, feed.Ask):
+        for action in self.machine.handle(_now_ms(), discovery_watch.ConnectionOpened()):
+            if isinstance(action, discovery_watch.RequestUpdates):
                 self.transport.write(action.data)
 
     def data_received(self, data: bytes) -> None:
         """Frames of the source."""
         frames = tuple(self.reader.feed(data))
         if frames:
-            self.machine.handle(_now_ms(), feed.Heard(frames))
+            self.machine.handle(_now_ms(), discovery_watch.FramesReceived(frames))
 
 
 def _now_ms() -> float:
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -89,8 +89,8 @@
     ),
     Finding(
         Kind.BOUND,
-        "foxlift/platform/farewells.py",
-        "`MOST`",
+        "foxlift/platform/session_endings.py",
+        "`MAX_ENTRIES`",
         "releases kept until their server confirms them, for 5 s; beyond it the oldest is not sent again",
         worked_out="4,096 in 5 s are 819/s of 19,000 deliveries/s",
         mend="bound it by time alone, or by server",
@@ -232,7 +232,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/transport.py",
-        "`_look`, `_owed`",
+        "`_check_stop`, `_pending_work`",
         "what is unsent is summed over all connections at each tick of a stop",
         _scan("look at what is unsent", DATA_PATH, "connections"),
         CONNECTIONS,
@@ -242,7 +242,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`_box_connection_lost`",
+        "`_server_connection_lost`",
         "the set-ups that are out on the connection",
         _scan("loss of one connection to a server", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -252,7 +252,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`BoxLost` in `handle`",
+        "`ServerLost` in `handle`",
         "the sessions that stand at the server",
         _scan("loss of one server without sessions", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -262,7 +262,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`_restarted`",
+        "`_server_restarted`",
         "the same at each restart of a server",
         _scan("restart of one server without sessions", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -272,7 +272,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/transport.py",
-        "`tell`",
+        "`notify_core`",
         "after each event all viewers that do not read are gone over",
         worked_out=f"{READ}; one call each, at each event",
         mend="only when a set-up of theirs ends",
@@ -479,8 +479,8 @@
     ),
     Finding(
         Kind.WHOLE,
-        "foxlift/platform/feed.py",
-        "`Feed`",
+        "foxlift/platform/discovery_watch.py",
+        "`DiscoveryWatch`",
         "the platform's list comes whole at a start without one, after three misread feeds, else as changes",
         _scan("the platform's list as it is sent", DISCOVERY, "servers"),
         LISTED,
--- a/bench/scale/load_core.py
+++ b/bench/scale/load_core.py
@@ -64,15 +64,15 @@
         self._waiting: list[tuple[int, int]] = []  # requests to servers: session, server
         self._timers: list[tuple[float, int, ev.Event]] = []
         self._timer_order = 0
-        self._viewer_reader = viewers.Reader()
-        self._server_reader = rtsp.Reader()
+        self._viewer_reader = viewers.LineReader()
+        self._server_reader = rtsp.MessageReader()
         for told in parsed.known:
-            self.handle(ev.Listed(told))
+            self.handle(ev.ListUpdated(told))
 
     def handle(self, event: ev.Event) -> None:
         """Give the core an event; keep the timers and set-ups that it asks for."""
         for action in self.core.handle(self.now, event):
-            if isinstance(action, ev.SendSetUp):
+            if isinstance(action, ev.QueueSetup):
                 self._waiting.append((action.session, action.node))
             elif isinstance(action, ev.StartTimer):
                 self._timer_order += 1
@@ -112,7 +112,7 @@
             for line in self._viewer_reader.feed(session.start):
                 message = viewers.read_line(line)
                 if message is not None:
-                    self.handle(ev.FromViewer(session.viewer_connection, message))
+                    self.handle(ev.ViewerMessageReceived(session.viewer_connection, message))
             self._answer(session)
 
     def _answer(self, session: PreparedSession) -> None:
@@ -121,7 +121,7 @@
         if len(waiting) != 1:
             raise RuntimeError(f"{len(waiting)} requests to servers after one of a viewer")
         [(number, server)] = waiting
-        if self.core.take(self.now, number, server, SERVER_CONNECTION) is None:
+        if self.core.take_setup(self.now, number, server, SERVER_CONNECTION) is None:
             raise RuntimeError("a request that is not to leave any more")
         self.from_server(server, session.answer)
         self.standing[session.tag] = server
@@ -134,7 +134,7 @@
     def from_server(self, server: int, data: bytes) -> None:
         """Bytes of a server."""
         for message in self._server_reader.feed(data):
-            self.handle(ev.FromBox(server, SERVER_CONNECTION, message))
+            self.handle(ev.ServerMessageReceived(server, SERVER_CONNECTION, message))
 
     def report(self, prepared: Iterable[tuple[int, bytes]]) -> None:
         """Servers' messages on sessions that stand, at the pace of a full director."""
--- a/bench/scale/load_memory.py
+++ b/bench/scale/load_memory.py
@@ -25,7 +25,7 @@
 from foxlift.peers.messages import Ping
 from foxlift.platform import events as ev
 from foxlift.platform import server_pool
-from foxlift.platform.settings import Address, Box, Told
+from foxlift.platform.settings import Address, ListedServer, ListUpdate
 
 SERVERS = 100
 PATH_TOKEN = "p" * 22
@@ -66,8 +66,8 @@
     for index in range(1, count + 1):
         info = fl.NodeInfo(server_number(index), 0, 0, 0, fl.Status.READY)
         address = Address(f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}", 5060)
-        loaded.handle(ev.Listed(Told(index, False, (Box(info, address),))))
-        pools.append(server_pool.ServerPool(server_pool.CONNECT_MS, 30_000.0, 1, 1))
+        loaded.handle(ev.ListUpdated(ListUpdate(index, False, (ListedServer(info, address),))))
+        pools.append(server_pool.ServerPool(server_pool.DEFAULT_CONNECT_TIMEOUT_MS, 30_000.0, 1, 1))
     return loaded, pools
 
 
--- a/bench/scale/load_work.py
+++ b/bench/scale/load_work.py
@@ -22,7 +22,7 @@
 from bench.scale.series import Quantity, Run, SizeSeries, measure_series
 from foxlift import interface as fl
 from foxlift.platform import events as ev
-from foxlift.platform.settings import Address, Box, Told
+from foxlift.platform.settings import Address, ListedServer, ListUpdate
 
 ROLE = "platform director, core and module"
 REPEATS = 3
@@ -96,20 +96,22 @@
 
 # ---- Work over all that is held ---------------------------------------------------------------------------
 def _lose_connection(loaded: CoreUnderLoad) -> None:
-    loaded.handle(ev.BoxConnectionLost(server_number(0), 2))  # nothing is out on this one
+    loaded.handle(ev.ServerConnectionLost(server_number(0), 2))  # nothing is out on this one
 
 
 def _lose_idle_server(loaded: CoreUnderLoad) -> None:
     loaded.handle(
-        ev.BoxLost(server_number(loaded.servers), "refused")
+        ev.ServerLost(server_number(loaded.servers), "refused")
     )  # not on the list: nothing plays there
 
 
 def _list_new_server(loaded: CoreUnderLoad) -> None:
     number = server_number(loaded.servers + 1)
     info = fl.NodeInfo(number, 0, 0, 0, fl.Status.READY, started_ms=loaded.now)
-    loaded.handle(ev.Listed(Told(2, False, (Box(info, Address("10.255.0.1", 5060)),))))
-    loaded.handle(ev.Listed(Told(3, False, (Box(_gone(info), Address("10.255.0.1", 5060)),))))
+    loaded.handle(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address("10.255.0.1", 5060)),))))
+    loaded.handle(
+        ev.ListUpdated(ListUpdate(3, False, (ListedServer(_gone(info), Address("10.255.0.1", 5060)),)))
+    )
 
 
 def _gone(info: fl.NodeInfo) -> fl.NodeInfo:
--- a/foxlift/platform/__main__.py
+++ b/foxlift/platform/__main__.py
@@ -32,7 +32,7 @@
     config = dataclasses.replace(config, sockets=min(config.sockets, allowed))
     loop = asyncio.get_running_loop()
     director = PlatformDirector(config, path, loop)
-    loop.set_exception_handler(lambda _, context: director.guard(context))
+    loop.set_exception_handler(lambda _, context: director.handle_exception(context))
     loop.add_signal_handler(signal.SIGHUP, director.reload)
     loop.add_signal_handler(signal.SIGTERM, director.stop)
     try:
@@ -43,10 +43,10 @@
     # what is there by now stays: no collection needs to look at it again
     gc.collect()
     gc.freeze()
-    director.log.say("serving", config.name)
+    director.log.write("serving", config.name)
     await director.ended
-    director.log.say("ended", director.last_line())
-    director.log.say("believed at the end", director.boxes_line())
+    director.log.write("ended", director.summary_line())
+    director.log.write("believed at the end", director.servers_line())
     # at once: taking the loop apart gives signals back to the system, and a SIGHUP would end the process by
     # itself; all that is owed is written, and sockets are the machine's to close
     sys.stderr.flush()
--- a/foxlift/platform/client_connection.py
+++ b/foxlift/platform/client_connection.py
@@ -24,7 +24,7 @@
 class OpenRequests(Protocol):
     """What a connection asks the core."""
 
-    def open_on(self, conn: int) -> int:
+    def open_requests(self, conn: int) -> int:
         """Set-ups that came on the connection and have no answer yet."""
 
 
@@ -33,14 +33,14 @@
 
     count: Counter[str]
     timeline: Timeline
-    full: set[ClientConnection]
+    write_blocked: set[ClientConnection]
     closing: ClosingConnections
 
     @property
     def core(self) -> OpenRequests:
         """The director without I/O."""
 
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Have the core handle an event."""
 
     def after_reading(self, callback: Callable[[], None]) -> None:
@@ -52,7 +52,7 @@
     def client_read(self) -> float:
         """Bytes are read; how long they may have lain unread, ms."""
 
-    def client_received(self, number: int, proven: bool, half: bool) -> None:
+    def client_received(self, number: int, proven: bool, partial: bool) -> None:
         """Bytes came on a connection."""
 
     def client_left(self, number: int) -> None:
@@ -67,10 +67,10 @@
 
     def __init__(self, director: ClientConnectionOwner) -> None:
         self._director = director
-        self._reader = viewers.Reader()
+        self._reader = viewers.LineReader()
         self.number = 0
         self.transport: asyncio.Transport | None = None
-        self._full = self._rests = False  # more is unsent than may be; it is not read from
+        self._write_blocked = self._reading_paused = False  # more is unsent than may be; it is not read from
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A client connected."""
@@ -86,13 +86,13 @@
         try:
             for line in self._reader.feed(data):
                 message = viewers.read_line(line)
-                proven = message is not None and not isinstance(message, viewers.Senseless)
+                proven = message is not None and not isinstance(message, viewers.InvalidSetup)
                 self._director.client_received(self.number, proven, False)
                 if message is not None:
-                    self._director.tell(ev.FromViewer(self.number, message, waited))
+                    self._director.notify_core(ev.ViewerMessageReceived(self.number, message, waited))
                 if self.transport.is_closing():
                     return
-        except viewers.Unreadable:
+        except viewers.ProtocolError:
             self._director.count["viewer unreadable"] += 1
             self.close()
             return
@@ -106,36 +106,36 @@
 
     def pause_writing(self) -> None:
         """The client does not read: it is not read from either, once nothing of its asking is open."""
-        self._full = True
-        self._director.full.add(self)
-        self.rest()
+        self._write_blocked = True
+        self._director.write_blocked.add(self)
+        self.update_reading()
 
-    def rest(self) -> None:
+    def update_reading(self) -> None:
         """Read no more where too much is unsent, unless it has a set-up open that it may still take back.
 
         A set-up may follow in the very read that made it too much: then reading goes on again.
         """
-        if not self._full or self.transport is None or self.transport.is_closing():
+        if not self._write_blocked or self.transport is None or self.transport.is_closing():
             return
-        rests = not self._director.core.open_on(self.number)
-        if rests and not self._rests:
+        pause = not self._director.core.open_requests(self.number)
+        if pause and not self._reading_paused:
             self.transport.pause_reading()
-        elif self._rests and not rests:
+        elif self._reading_paused and not pause:
             self.transport.resume_reading()
-        self._rests = rests
+        self._reading_paused = pause
 
     def resume_writing(self) -> None:
         """It reads again."""
-        self._full = False
-        self._director.full.discard(self)
-        if self._rests and self.transport is not None and not self.transport.is_closing():
+        self._write_blocked = False
+        self._director.write_blocked.discard(self)
+        if self._reading_paused and self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
-        self._rests = False
+        self._reading_paused = False
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is over."""
         self.transport = None
-        self._director.full.discard(self)
+        self._director.write_blocked.discard(self)
         self._director.closing.discard(self)
         self._director.client_closed(self.number)
 
@@ -163,7 +163,7 @@
         """Whether nothing more is read from the client."""
         return self.transport is None or self.transport.is_closing()
 
-    def unread(self) -> ClientSocket:
+    def socket_state(self) -> ClientSocket:
         """What the machine holds of the connection that was not read yet."""
         if self.transport is None or self.transport.is_closing():
             return ClientSocket.NOTHING
--- a/foxlift/platform/discovery.py
+++ b/foxlift/platform/discovery.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from foxlift.director.timeline import Timeline
+from foxlift.platform import discovery_watch
 from foxlift.platform import events as ev
-from foxlift.platform import feed
 from foxlift.platform.discovery_connection import DiscoveryConnection
 from foxlift.platform.log import RateLimitedLog
 from foxlift.platform.settings import Address, Config
@@ -22,7 +22,7 @@
     log: RateLimitedLog
     timeline: Timeline
 
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Have the core handle an event."""
 
     def log_task_error(self, task: asyncio.Task[None]) -> None:
@@ -34,7 +34,7 @@
 
     def __init__(self, director: DiscoveryOwner, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self._director, self._config, self._loop = director, config, loop
-        self.feed = feed.Feed(config.coordinator, config.known_number, config.seed)
+        self.watch = discovery_watch.DiscoveryWatch(config.coordinator, config.known_number, config.seed)
         self.connection: DiscoveryConnection | None = None
         self._connecting: asyncio.Task[None] | None = None
 
@@ -50,62 +50,64 @@
 
     def start(self) -> None:
         """Hear of the list."""
-        self._carry_out(self.feed.start())
+        self._carry_out(self.watch.start())
 
     def close(self) -> None:
         """Close the connection, or give up making it."""
-        self._drop()
+        self._close_connection()
 
-    def handle(self, event: feed.Event) -> None:
+    def handle(self, event: discovery_watch.Event) -> None:
         """Tell the feed, and do what it wants."""
-        self._carry_out(self.feed.handle(self._director.timeline.now(), event))
+        self._carry_out(self.watch.handle(self._director.timeline.now(), event))
 
-    def misread(self) -> None:
+    def resynchronize(self) -> None:
         """What the coordinator sent cannot be read."""
-        self._carry_out(self.feed.misread())
+        self._carry_out(self.watch.resynchronize())
 
-    def _carry_out(self, actions: list[feed.Action]) -> None:
+    def _carry_out(self, actions: list[discovery_watch.Action]) -> None:
         for action in actions:
             match action:
-                case feed.Connect(address):
+                case discovery_watch.OpenConnection(address):
                     self._connecting = self._loop.create_task(self._connect(address))
                     self._connecting.add_done_callback(self._director.log_task_error)
-                case feed.Ask(data):
+                case discovery_watch.RequestUpdates(data):
                     if self.connection is not None and self.connection.transport is not None:
                         self.connection.transport.write(data)
-                case feed.Drop():
-                    self._drop()
-                case feed.Tell(told):
-                    self._director.tell(ev.Listed(told))
-                case feed.Later(delay_ms, turn):
-                    self._director.timeline.later(delay_ms, self._timer(turn))
+                case discovery_watch.CloseConnection():
+                    self._close_connection()
+                case discovery_watch.DeliverUpdate(update):
+                    self._director.notify_core(ev.ListUpdated(update))
+                case discovery_watch.StartTimer(delay_ms, timer_id):
+                    self._director.timeline.later(delay_ms, self._timer(timer_id))
 
-    def _timer(self, turn: int) -> Callable[[], None]:
-        return lambda: self.handle(feed.Due(turn))
+    def _timer(self, timer_id: int) -> Callable[[], None]:
+        return lambda: self.handle(discovery_watch.TimerExpired(timer_id))
 
     async def _connect(self, address: Address) -> None:
         module, config = self._config.module, self._config
-        reader = feed.Reader(max(config.zones, 1), max(len(module.kind_slots), 1), module.cells)
-        made = DiscoveryConnection(self, reader)
+        reader = discovery_watch.FrameReader(
+            max(config.zones, 1), max(len(module.kind_slots), 1), module.cells
+        )
+        connection = DiscoveryConnection(self, reader)
         try:
-            await self._loop.create_connection(lambda: made, address.host, address.port)
+            await self._loop.create_connection(lambda: connection, address.host, address.port)
         except OSError as error:
             self._connecting = None
             self._director.count["coordinator not reached"] += 1
-            self._director.log.say("coordinator not reached", type(error).__name__)
-            self.handle(feed.Closed())
+            self._director.log.write("coordinator not reached", type(error).__name__)
+            self.handle(discovery_watch.ConnectionClosed())
             return
         self._connecting = None
-        if made.transport is not None:
-            self.connection = made
-            self.handle(feed.Opened())
+        if connection.transport is not None:
+            self.connection = connection
+            self.handle(discovery_watch.ConnectionOpened())
         else:
-            self.handle(feed.Closed())
+            self.handle(discovery_watch.ConnectionClosed())
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connecting is not None:
             self._connecting.cancel()
             self._connecting = None
-        held, self.connection = self.connection, None
-        if held is not None and held.transport is not None:
-            held.transport.abort()
+        connection, self.connection = self.connection, None
+        if connection is not None and connection.transport is not None:
+            connection.transport.abort()
--- a/foxlift/platform/discovery_connection.py
+++ b/foxlift/platform/discovery_connection.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Protocol, cast
 
-from foxlift.platform import feed
+from foxlift.platform import discovery_watch
 from foxlift.platform.log import RateLimitedLog
 
 
@@ -23,17 +23,17 @@
     def log(self) -> RateLimitedLog:
         """The log."""
 
-    def handle(self, event: feed.Event) -> None:
+    def handle(self, event: discovery_watch.Event) -> None:
         """Have the feed handle an event."""
 
-    def misread(self) -> None:
+    def resynchronize(self) -> None:
         """What was sent cannot be read."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
     """The connection to the coordinator."""
 
-    def __init__(self, owner: DiscoveryConnectionOwner, reader: feed.Reader) -> None:
+    def __init__(self, owner: DiscoveryConnectionOwner, reader: discovery_watch.FrameReader) -> None:
         self._owner, self._reader = owner, reader
         self.transport: asyncio.Transport | None = None
 
@@ -47,17 +47,17 @@
             return
         try:
             frames = self._reader.feed(data)
-        except feed.Unreadable as error:
+        except discovery_watch.ProtocolError as error:
             self._owner.count["feed unreadable"] += 1
-            self._owner.log.say("coordinator cannot be read", str(error))
-            self._owner.misread()
+            self._owner.log.write("coordinator cannot be read", str(error))
+            self._owner.resynchronize()
             return
         if frames:
-            self._owner.handle(feed.Heard(tuple(frames)))
+            self._owner.handle(discovery_watch.FramesReceived(tuple(frames)))
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is over."""
         self.transport = None
         if self._owner.connection is self:
             self._owner.connection = None
-            self._owner.handle(feed.Closed())
+            self._owner.handle(discovery_watch.ConnectionClosed())
--- a/foxlift/platform/events.py
+++ b/foxlift/platform/events.py
@@ -6,12 +6,12 @@
 
 from foxlift import interface as fl
 from foxlift.platform import rtsp, viewers
-from foxlift.platform.settings import Address, Told
+from foxlift.platform.settings import Address, ListUpdate
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class FromViewer:
+class ViewerMessageReceived:
     """A viewer's message. `waited_ms`: how long it may have lain unread while this process stood still."""
 
     conn: int
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewerGone:
+class ViewerDisconnected:
     """A viewer's connection is over."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class FromBox:
+class ServerMessageReceived:
     """A box's message on one of its connections."""
 
     node: int
@@ -36,16 +36,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxConnectionLost:
+class ServerConnectionLost:
     """A connection to a box is over, or `spoilt`: what came on it cannot be read."""
 
     node: int
     conn: int
-    spoilt: bool = False
+    corrupt: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Unreached:
+class SetupNotSent:
     """No connection to that box for a set-up: nothing of it has left."""
 
     session: int
@@ -53,15 +53,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxLost:
+class ServerLost:
     """What played at a box is over."""
 
     node: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptDue:
+class AttemptTimedOut:
     """The time of an attempt is up."""
 
     session: int
@@ -69,42 +69,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandoverDue:
+class HandoverTimedOut:
     """A session was handed over whose box the list still does not name."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
-class LastAnswers:
+class ShutdownImminent:
     """The process ends soon: every request that is still open gets its answer now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListUpdated:
     """An event of the coordinator, also out of the configuration: it holds what was told until the start."""
 
-    told: Told
+    update: ListUpdate
 
 
 Event = (
-    FromViewer
-    | ViewerGone
-    | FromBox
-    | BoxConnectionLost
-    | Unreached
-    | BoxLost
-    | AttemptDue
-    | HandoverDue
-    | LastAnswers
-    | Listed
+    ViewerMessageReceived
+    | ViewerDisconnected
+    | ServerMessageReceived
+    | ServerConnectionLost
+    | SetupNotSent
+    | ServerLost
+    | AttemptTimedOut
+    | HandoverTimedOut
+    | ShutdownImminent
+    | ListUpdated
     | fl.Wake
 )
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class ToViewer:
+class SendToViewer:
     """Write to a viewer's connection; nothing, where that is closed."""
 
     conn: int
@@ -112,22 +112,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewerSessions:
+class ChangeViewerSessions:
     """So many more sessions belong to a viewer's connection."""
 
     conn: int
-    more: int
+    change: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProtocolError:
+class RecordProtocolError:
     """What came on a viewer's connection made no sense."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class SendSetUp:
+class QueueSetup:
     """Send a set-up to a box when there is a connection: its bytes are then asked for by `Core.take`."""
 
     session: int
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopSetUp:
+class CancelSetup:
     """A set-up that has not left is not wanted any more."""
 
     session: int
@@ -143,17 +143,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToBox:
+class SendToServer:
     """Write to a box, on this connection if it is up, else on any. `only`: not on any other."""
 
     node: int
     conn: int
     data: bytes
-    only: bool = False
+    this_connection_only: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class SetUpEnded:
+class SetupFinished:
     """A set-up that had left on the connection has its end."""
 
     node: int
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxListed:
+class AddServer:
     """A box is on the list, at this address."""
 
     node: int
@@ -169,14 +169,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxGone:
+class RemoveServer:
     """A box is off the list."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class SetSessionCount:
     """So many sessions play at a box now."""
 
     node: int
@@ -188,28 +188,28 @@
     """Send the event after so many milliseconds."""
 
     delay_ms: float
-    event: AttemptDue | HandoverDue | fl.Wake
+    event: AttemptTimedOut | HandoverTimedOut | fl.Wake
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the log."""
 
-    what: str
+    log_event: str
     detail: str = ""
 
 
 Action = (
-    ToViewer
-    | ViewerSessions
-    | ProtocolError
-    | SendSetUp
-    | StopSetUp
-    | ToBox
-    | SetUpEnded
-    | BoxListed
-    | BoxGone
-    | Standing
+    SendToViewer
+    | ChangeViewerSessions
+    | RecordProtocolError
+    | QueueSetup
+    | CancelSetup
+    | SendToServer
+    | SetupFinished
+    | AddServer
+    | RemoveServer
+    | SetSessionCount
     | StartTimer
-    | Say
+    | WriteLog
 )
--- a/foxlift/platform/eviction.py
+++ b/foxlift/platform/eviction.py
@@ -23,7 +23,7 @@
     conn: int
 
 
-def least_needed(
+def select_connection_to_close(
     now: float, servers: Mapping[int, ServerPool], min_listening_ms: float
 ) -> ConnectionKey | None:
     """The connection to close for another server's; None where each is in use. `now` in ms.
@@ -36,13 +36,13 @@
     for node, server in servers.items():
         listened = server.latest_up if server.sessions else None
         for conn, connection in server.connections.items():
-            if not connection.up or connection.out or server.waiting:
+            if not connection.up or connection.in_flight or server.waiting:
                 continue
-            heard_on = conn == listened
-            if heard_on and now - connection.since < min_listening_ms:
+            is_listening = conn == listened
+            if is_listening and now - connection.opened_at < min_listening_ms:
                 continue
-            age = connection.since if heard_on else connection.used_at
-            idle.append((heard_on, age, ConnectionKey(node, conn)))
+            age = connection.opened_at if is_listening else connection.last_used_at
+            idle.append((is_listening, age, ConnectionKey(node, conn)))
     return min(idle, key=lambda each: each[:2])[2] if idle else None
 
 
--- a/foxlift/platform/log.py
+++ b/foxlift/platform/log.py
@@ -12,21 +12,21 @@
     """Lines on standard error, bounded in rate; what was left out is counted."""
 
     def __init__(self) -> None:
-        self._room, self._at, self._left_out = LOG_BURST, time.monotonic(), 0
+        self._tokens, self._refilled_at, self._dropped = LOG_BURST, time.monotonic(), 0
 
-    def say(self, what: str, detail: str = "") -> None:
+    def write(self, event: str, detail: str = "") -> None:
         """One line; names and counts only, never a description."""
         now = time.monotonic()
-        self._room = min(self._room + (now - self._at) * LOG_PER_S, LOG_BURST)
-        self._at = now
-        if self._room < 1:
-            self._left_out += 1
+        self._tokens = min(self._tokens + (now - self._refilled_at) * LOG_PER_S, LOG_BURST)
+        self._refilled_at = now
+        if self._tokens < 1:
+            self._dropped += 1
             return
-        self._room -= 1
-        more = f" ({self._left_out} lines left out)" if self._left_out else ""
+        self._tokens -= 1
+        suffix = f" ({self._dropped} lines left out)" if self._dropped else ""
         try:
-            print(f"foxlift: {what}{': ' if detail else ''}{detail}{more}", file=sys.stderr, flush=True)
+            print(f"foxlift: {event}{': ' if detail else ''}{detail}{suffix}", file=sys.stderr, flush=True)
         except OSError:  # who reads the log is gone or does not keep up: nobody else is to notice
-            self._left_out += 1
+            self._dropped += 1
             return
-        self._left_out = 0
+        self._dropped = 0
--- a/foxlift/platform/rtsp.py
+++ b/foxlift/platform/rtsp.py
@@ -12,18 +12,28 @@
 
 from dataclasses import dataclass
 
-MAX_MESSAGE = 16 * 1024  # bytes, head and body together
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes, head and body together
 PING_CSEQ = 3
-_STARTS = (b"RTSP/1.0 ", b"TEARDOWN ", b"ANNOUNCE ", b"OPTIONS ", b"SETUP ", b"SET_PARAMETER ", b"REDIRECT ")
-_TELLING = frozenset(("cseq", "session", "content-length"))  # twice in one message: it cannot be told apart
-
-
-class Spoilt(ValueError):
+_MESSAGE_PREFIXES = (
+    b"RTSP/1.0 ",
+    b"TEARDOWN ",
+    b"ANNOUNCE ",
+    b"OPTIONS ",
+    b"SETUP ",
+    b"SET_PARAMETER ",
+    b"REDIRECT ",
+)
+_UNIQUE_HEADERS = frozenset(
+    ("cseq", "session", "content-length")
+)  # twice in one message: it cannot be told apart
+
+
+class ProtocolError(ValueError):
     """What came cannot be read; nothing later on the connection can be."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A response. `session` is empty where it names none."""
 
     status: int
@@ -44,15 +54,15 @@
     body: bytes
 
 
-Message = Answer | Request
+Message = Response | Request
 
 
-class Reader:
+class MessageReader:
     """Cuts one connection's bytes into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._broken = False
+        self._failed = False
 
     @property
     def pending(self) -> int:
@@ -65,8 +75,8 @@
         What stands before something unreadable in the same read is not given out: where a length does not
         fit, the message before the damage is the damaged one.
         """
-        if self._broken:
-            raise Spoilt("after an unreadable message")
+        if self._failed:
+            raise ProtocolError("after an unreadable message")
         self._buffer += data
         found: list[Message] = []
         try:
@@ -75,25 +85,25 @@
                 if message is None:
                     break
                 found.append(message)
-        except Spoilt:
-            self._broken = True
+        except ProtocolError:
+            self._failed = True
             self._buffer.clear()
             raise
         return found
 
     def _next(self) -> Message | None:
         buffer = self._buffer
-        if not any(buffer.startswith(start[: len(buffer)]) for start in _STARTS):
-            raise Spoilt("no message begins like this")
-        end = buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE)
+        if not any(buffer.startswith(start[: len(buffer)]) for start in _MESSAGE_PREFIXES):
+            raise ProtocolError("no message begins like this")
+        end = buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE_BYTES)
         if end < 0:
-            if len(buffer) >= MAX_MESSAGE:
-                raise Spoilt("head without end")
+            if len(buffer) >= MAX_MESSAGE_BYTES:
+                raise ProtocolError("head without end")
             return None
         first, headers = _head(bytes(buffer[:end]))
-        length = _number(headers.get("content-length"), "Content-Length", MAX_MESSAGE)
-        if end + 4 + length > MAX_MESSAGE:
-            raise Spoilt("message too long")
+        length = _number(headers.get("content-length"), "Content-Length", MAX_MESSAGE_BYTES)
+        if end + 4 + length > MAX_MESSAGE_BYTES:
+            raise ProtocolError("message too long")
         if len(buffer) < end + 4 + length:
             return None
         body = bytes(buffer[end + 4 : end + 4 + length])
@@ -105,24 +115,24 @@
     try:
         lines = head.decode("ascii").split("\r\n")
     except UnicodeDecodeError as error:
-        raise Spoilt("head is not ASCII") from error
+        raise ProtocolError("head is not ASCII") from error
     headers: dict[str, str] = {}
     for line in lines[1:]:
-        name, sign, value = line.partition(":")
+        name, colon, value = line.partition(":")
         key = name.lower()
-        if not sign or not name or name != name.strip() or not line.isprintable():
-            raise Spoilt("header line without a name")
-        if key in _TELLING and key in headers:
-            raise Spoilt(f"two {name} headers")
+        if not colon or not name or name != name.strip() or not line.isprintable():
+            raise ProtocolError("header line without a name")
+        if key in _UNIQUE_HEADERS and key in headers:
+            raise ProtocolError(f"two {name} headers")
         headers[key] = value.strip()
     if not lines[0].isprintable():
-        raise Spoilt("first line is not text")
+        raise ProtocolError("first line is not text")
     return lines[0].split(" ", 2), headers
 
 
-def _number(text: str | None, name: str, most: int) -> int:
-    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 10 or int(text) > most:
-        raise Spoilt(f"{name} is missing or makes no sense")
+def _number(text: str | None, name: str, maximum: int) -> int:
+    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 10 or int(text) > maximum:
+        raise ProtocolError(f"{name} is missing or makes no sense")
     return int(text)
 
 
@@ -131,16 +141,16 @@
     session = headers.get("session", "")
     if first[0] == "RTSP/1.0":
         if len(first) < 2 or len(first[1]) != 3 or not (first[1].isascii() and first[1].isdigit()):
-            raise Spoilt("no status")
-        return Answer(int(first[1]), cseq, session, headers, body)
+            raise ProtocolError("no status")
+        return Response(int(first[1]), cseq, session, headers, body)
     if len(first) != 3 or first[2] != "RTSP/1.0" or not first[1].startswith("rtsp://media/"):
-        raise Spoilt("no request line")
+        raise ProtocolError("no request line")
     return Request(first[0], cseq, session, headers, body)
 
 
-def fails_test(message: Message) -> bool:
+def is_failed_ping(message: Message) -> bool:
     """Whether it says that the connection does not work."""
-    return isinstance(message, Answer) and message.cseq == PING_CSEQ and message.status != 200
+    return isinstance(message, Response) and message.cseq == PING_CSEQ and message.status != 200
 
 
 # ---- What a director sends --------------------------------------------------------------------------------
@@ -149,13 +159,13 @@
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def set_up(session: str, title: str, klass: str, rung: int, within_ms: int, body: bytes) -> bytes:
+def setup(session: str, title: str, klass: str, rung: int, within_ms: int, body: bytes) -> bytes:
     """Ask the box for a session; `within_ms`: how long this director will wait."""
     more = f"Call-Kind: {klass}\r\nAnswer-Within: {within_ms}\r\nX-Quality: {rung}\r\n"
     return _request("SETUP", title, 1, session, more, body)
 
 
-def give_up(session: str) -> bytes:
+def cancel_setup(session: str) -> bytes:
     """Take a set-up back that has no answer."""
     return _request("TEARDOWN", session, 2, session)
 
@@ -165,7 +175,7 @@
     return _request("TEARDOWN", session, 2, session, f"Reason: cause={cause}\r\n")
 
 
-def new_rung(session: str, rung: int) -> bytes:
+def set_rung(session: str, rung: int) -> bytes:
     """Set the rung of a session; wants no answer."""
     return _request("SET_PARAMETER", session, 4, session, f"X-Quality: {rung}\r\n")
 
@@ -180,7 +190,7 @@
     return _request("OPTIONS", "ping", PING_CSEQ, token)
 
 
-def heard(request: Request) -> bytes:
+def confirm_release(request: Request) -> bytes:
     """A release of the box's was heard."""
     named = f"CSeq: {request.cseq}\r\nSession: {request.session}\r\n"
     return f"RTSP/1.0 200 OK\r\n{named}Content-Length: 0\r\n\r\n".encode()
--- a/foxlift/platform/server_connection.py
+++ b/foxlift/platform/server_connection.py
@@ -23,16 +23,16 @@
     def log(self) -> RateLimitedLog:
         """The log."""
 
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Have the core handle an event."""
 
     def handle(self, node: int, event: server_pool.Event) -> None:
         """Have the connections of a server handle an event."""
 
-    def opened(self, connection: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         """A connection is made, which may have been given up meanwhile."""
 
-    def lost(self, connection: ServerConnection, spoilt: bool) -> None:
+    def connection_dropped(self, connection: ServerConnection, corrupt: bool) -> None:
         """A connection is over, or of no further use."""
 
 
@@ -41,8 +41,8 @@
 
     def __init__(self, owner: ServerConnectionOwner, node: int, number: int) -> None:
         self._owner, self.node, self.number = owner, node, number
-        self._reader = rtsp.Reader()
-        self._spoilt = self.retired = False
+        self._reader = rtsp.MessageReader()
+        self._corrupt = self.retired = False
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -50,7 +50,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         # at once: bytes may come, and its end, before the task that connects hears of it
-        self._owner.opened(self)
+        self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes from the server."""
@@ -58,23 +58,23 @@
             return
         try:
             messages = self._reader.feed(data)
-        except rtsp.Spoilt as error:
-            self._spoilt = True
+        except rtsp.ProtocolError as error:
+            self._corrupt = True
             self._owner.count["box unreadable"] += 1
-            self._owner.log.say("box cannot be read", f"s-{self.node:08x}, {error}")
-            self._owner.lost(self, spoilt=True)
+            self._owner.log.write("box cannot be read", f"s-{self.node:08x}, {error}")
+            self._owner.connection_dropped(self, corrupt=True)
             self.transport.abort()
             return
         for message in messages:
-            if not rtsp.fails_test(message):
+            if not rtsp.is_failed_ping(message):
                 self._owner.handle(self.node, server_pool.DataReceived(self.number))
-            self._owner.tell(ev.FromBox(self.node, self.number, message))
+            self._owner.notify_core(ev.ServerMessageReceived(self.node, self.number, message))
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is over."""
         self.transport = None
-        if not self._spoilt:
-            self._owner.lost(self, spoilt=False)
+        if not self._corrupt:
+            self._owner.connection_dropped(self, corrupt=False)
 
     def send(self, data: bytes) -> bool:
         """Write; False where the connection is over."""
--- a/foxlift/platform/server_connections.py
+++ b/foxlift/platform/server_connections.py
@@ -13,23 +13,23 @@
 from foxlift.director.timeline import Timeline
 from foxlift.platform import descriptors, rtsp, server_pool
 from foxlift.platform import events as ev
-from foxlift.platform.eviction import MIN_LISTENING_MS, least_needed
+from foxlift.platform.eviction import MIN_LISTENING_MS, select_connection_to_close
 from foxlift.platform.log import RateLimitedLog
 from foxlift.platform.server_connection import ServerConnection
 from foxlift.platform.settings import Address, Config
 from foxlift.platform.setups import ClientSocket, PendingSetup, SetupQueue
 
-RETIRE_MS = 2000.0  # how long a retired connection to a connection is still read
+RETIRED_READ_MS = 2000.0  # how long a retired connection to a connection is still read
 MAX_UNSENT_MESSAGES = 4096  # messages kept for a server that no connection is up to
 
 
 class SetupSource(Protocol):
     """What the connections ask the core."""
 
-    def waits(self, number: int, node: int) -> bool:
+    def is_waiting(self, number: int, node: int) -> bool:
         """Whether an attempt of the request at that very server has still to leave."""
 
-    def take(self, now: float, number: int, node: int, conn: int) -> bytes | None:
+    def take_setup(self, now: float, number: int, node: int, conn: int) -> bytes | None:
         """The set-up's bytes, or None where it is not to leave any more."""
 
 
@@ -48,7 +48,7 @@
     def client_connections(self) -> int:
         """How many connections from clients are open."""
 
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Have the core handle an event."""
 
     def client_socket(self, request: int) -> ClientSocket:
@@ -90,26 +90,28 @@
         """The director's log."""
         return self._director.log
 
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Have the core handle an event."""
-        self._director.tell(event)
+        self._director.notify_core(event)
 
     # ---- Servers ------------------------------------------------------------------------------------------
-    def listed(self, node: int, address: Address) -> None:
+    def server_listed(self, node: int, address: Address) -> None:
         """The list names a server, maybe again."""
         moved = self.addresses.get(node, address) != address
         self.addresses[node] = address
         if node in self.pools:
             self.handle(node, server_pool.ServerListed(moved))
             return
-        connect_ms = self._config.module.connect_timeout_ms or server_pool.CONNECT_MS
-        self.pools[node] = server_pool.ServerPool(connect_ms, self._config.idle_ms, 1, self._config.streams)
-        self._share_out()
+        connect_ms = self._config.module.connect_timeout_ms or server_pool.DEFAULT_CONNECT_TIMEOUT_MS
+        self.pools[node] = server_pool.ServerPool(
+            connect_ms, self._config.idle_ms, 1, self._config.max_streams
+        )
+        self._update_shares()
 
-    def want(self, request: int, node: int) -> None:
+    def queue_setup(self, request: int, node: int) -> None:
         """A set-up is to leave."""
         if node not in self.pools:
-            self._director.tell(ev.Unreached(request, node))
+            self._director.notify_core(ev.SetupNotSent(request, node))
         else:
             self.handle(node, server_pool.SetupQueued(request))
 
@@ -121,7 +123,7 @@
             if pool is not None and pool.is_removed and pool.unused:
                 self._drop_pool(node)
 
-    def unwritten(self) -> int:
+    def unsent_size(self) -> int:
         """Bytes that the machine has not taken, and messages that wait for a connection."""
         written = sum(
             connection.transport.get_write_buffer_size()
@@ -151,19 +153,19 @@
                 self._open(node, conn, within_ms)
             case server_pool.UseConnection(conn, key):
                 self._setups.add(PendingSetup(node, conn, key))
-            case server_pool.SetupUnreached(key):
-                self._director.tell(ev.Unreached(key, node))
+            case server_pool.SetupNotSent(key):
+                self._director.notify_core(ev.SetupNotSent(key, node))
             case server_pool.PingConnection(conn):
                 self._ping(node, conn)
             case server_pool.CloseConnection(conn):
-                self._shut(node, conn)
+                self._close(node, conn)
             case server_pool.RetireConnection(conn):
                 self._retire(node, conn)
-            case server_pool.DropUnsent():
+            case server_pool.DiscardUnsent():
                 self.unsent.pop(node, None)
-            case server_pool.SessionsLost(why):
-                self._director.log.say("box lost", f"s-{node:08x}, {why}")
-                self._director.tell(ev.BoxLost(node, why))
+            case server_pool.SessionsLost(reason):
+                self._director.log.write("box lost", f"s-{node:08x}, {reason}")
+                self._director.notify_core(ev.ServerLost(node, reason))
 
     def _ping(self, node: int, conn: int) -> None:
         self._director.count["pings"] += 1
@@ -176,10 +178,10 @@
         if connection is not None:
             self._director.count["box connections retired"] += 1
             connection.retire()
-            self._director.timeline.later(RETIRE_MS, connection.close)
+            self._director.timeline.later(RETIRED_READ_MS, connection.close)
 
     def _open(self, node: int, conn: int, within_ms: float) -> None:
-        if not self._room_for_server(to_listen=not self.pools[node].waiting):
+        if not self._reserve_descriptor(for_listening=not self.pools[node].waiting):
             self._director.count["no descriptor for a box"] += 1
             self._loop.call_soon(self.handle, node, server_pool.ConnectionLost(conn))
             return
@@ -189,7 +191,7 @@
         self.opening[node, conn] = task
         self._director.timeline.later(within_ms, lambda: self.handle(node, server_pool.Tick()))
 
-    def _room_for_server(self, to_listen: bool) -> bool:
+    def _reserve_descriptor(self, for_listening: bool) -> bool:
         """Whether one more connection to a server may be opened, if need be after another is closed.
 
         `to_listen`: no set-up waits for it, it is to be heard of sessions on it.
@@ -200,14 +202,14 @@
             return True
         retired = next((at for at in self.connections.values() if at.retired), None)
         if retired is not None:
-            self._shut(retired.node, retired.number)
+            self._close(retired.node, retired.number)
             return True
-        min_listening_ms = MIN_LISTENING_MS if to_listen else 0.0
-        given_up = least_needed(self._director.timeline.now(), self.pools, min_listening_ms)
-        if given_up is None:
+        min_listening_ms = MIN_LISTENING_MS if for_listening else 0.0
+        yielded = select_connection_to_close(self._director.timeline.now(), self.pools, min_listening_ms)
+        if yielded is None:
             return False
         self._director.count["box connections given up"] += 1
-        self.handle(given_up.node, server_pool.ConnectionYielded(given_up.conn))
+        self.handle(yielded.node, server_pool.ConnectionYielded(yielded.conn))
         return True
 
     async def _connect(self, node: int, conn: int, address: Address) -> None:
@@ -221,7 +223,7 @@
             self.handle(node, server_pool.ConnectionLost(conn, refused))
             return
 
-    def opened(self, connection: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         """A connection to a server is made, which may have been given up meanwhile."""
         if self.opening.pop((connection.node, connection.number), None) is None:
             connection.close()
@@ -239,29 +241,30 @@
         connection = self.connections.get((node, conn))
         if connection is None or connection.transport is None or connection.transport.is_closing():
             if connection is not None:
-                self.lost(connection, spoilt=False)  # its end is known: nobody else is to be sent there
+                # known to be closed: no other set-up may be assigned to it
+                self.connection_dropped(connection, corrupt=False)
             if node not in self.pools:
-                self._director.tell(ev.Unreached(key, node))
-            elif self._director.core.waits(key, node):
+                self._director.notify_core(ev.SetupNotSent(key, node))
+            elif self._director.core.is_waiting(key, node):
                 # nothing of it has left, and another connection may be had
                 self.handle(node, server_pool.SetupQueued(key))
             return
         if connection.transport.get_write_buffer_size():
             # the machine takes nothing: what waits here leaves as the server reads, long after its client did
-            self.handle(node, server_pool.SlotReleased(conn))
-            self._director.tell(ev.Unreached(key, node))
+            self.handle(node, server_pool.SetupFinished(conn))
+            self._director.notify_core(ev.SetupNotSent(key, node))
             return
         self._director.note_reset_client(key)
-        data = self._director.core.take(self._director.timeline.now(), key, node, conn)
+        data = self._director.core.take_setup(self._director.timeline.now(), key, node, conn)
         if data is None:
-            self.handle(node, server_pool.SlotReleased(conn))
+            self.handle(node, server_pool.SetupFinished(conn))
         else:
             connection.send(data)
 
-    def send(self, node: int, conn: int, data: bytes, only: bool) -> None:
+    def send(self, node: int, conn: int, data: bytes, this_connection_only: bool) -> None:
         """Write to a server on this connection if it is up, else on any; `only`: not on any other."""
         connection = self.connections.get((node, conn))
-        if (connection is not None and connection.send(data)) or only:
+        if (connection is not None and connection.send(data)) or this_connection_only:
             return
         pool = self.pools.get(node)
         if pool is None:
@@ -277,37 +280,37 @@
         waiting.append(data)
         self.handle(node, server_pool.ConnectRequested())
 
-    def lost(self, connection: ServerConnection, spoilt: bool) -> None:
+    def connection_dropped(self, connection: ServerConnection, corrupt: bool) -> None:
         """A connection to a server is over, or of no further use."""
         if self.connections.get((connection.node, connection.number)) is not connection:
             return
         del self.connections[connection.node, connection.number]
-        self._director.count["box connections spoilt" if spoilt else "box connections closed"] += 1
+        self._director.count["box connections spoilt" if corrupt else "box connections closed"] += 1
         # the core first: what was out there may go elsewhere at once
-        self._director.tell(ev.BoxConnectionLost(connection.node, connection.number, spoilt))
+        self._director.notify_core(ev.ServerConnectionLost(connection.node, connection.number, corrupt))
         self.handle(connection.node, server_pool.ConnectionLost(connection.number))
 
-    def _shut(self, node: int, conn: int) -> None:
+    def _close(self, node: int, conn: int) -> None:
         task = self.opening.pop((node, conn), None)
         if task is not None:
             task.cancel()
         connection = self.connections.pop((node, conn), None)
         if connection is not None:
             connection.close()
-            self._director.tell(ev.BoxConnectionLost(node, conn))
+            self._director.notify_core(ev.ServerConnectionLost(node, conn))
 
-    def _share_out(self) -> None:
+    def _update_shares(self) -> None:
         """Servers have come or gone: each server's part of the descriptors."""
         self._shares = descriptors.share_out(self._config.sockets, len(self.pools))
         self._director.client_share_changed(self._shares.clients)
-        most = descriptors.max_connections_per_server(self._config.sockets, len(self.pools))
+        max_per_server = descriptors.max_connections_per_server(self._config.sockets, len(self.pools))
         for pool in self.pools.values():
-            pool.max_connections = most
+            pool.max_connections = max_per_server
 
     def _drop_pool(self, node: int) -> None:
         pool = self.pools.pop(node)
         self.addresses.pop(node, None)
         self.unsent.pop(node, None)
         for conn in list(pool.connections):
-            self._shut(node, conn)
-        self._share_out()
+            self._close(node, conn)
+        self._update_shares()
--- a/foxlift/platform/server_pool.py
+++ b/foxlift/platform/server_pool.py
@@ -25,15 +25,17 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-PING_AFTER_MS = 900.0  # quiet for so long with something out or playing: test the connection
-PONG_WITHIN_MS = 900.0  # a test is passed at once by a server that lives, however slow its set-ups are
-LOST_MS = 5000.0  # silence after which what played there is over; viewers are owed word within 8 s of an end
+PING_IDLE_MS = 900.0  # quiet for so long with something out or playing: test the connection
+PING_TIMEOUT_MS = 900.0  # a test is passed at once by a server that lives, however slow its set-ups are
+SILENCE_TIMEOUT_MS = (
+    5000.0  # silence after which what played there is over; viewers are owed word within 8 s of an end
+)
 SILENT = "silent"  # why a server is lost of which nothing is known
-LATE_OPEN_MS = 200.0  # two looks: a connection that comes up so shortly before that is too late
-REOPEN_MS = 250.0  # between tries to reach a silent server that sessions play on
-MAX_REOPEN_MS = 4000.0  # the same for what only waits to be sent
-CONNECT_MS = 1000.0  # for a connection to come up, where the settings name no time
-IDLE_RATIO = 0.6  # of the server's own idle time: after that this side closes first
+LATE_OPEN_MARGIN_MS = 200.0  # two looks: a connection that comes up so shortly before that is too late
+REOPEN_INTERVAL_MS = 250.0  # between tries to reach a silent server that sessions play on
+MAX_REOPEN_INTERVAL_MS = 4000.0  # the same for what only waits to be sent
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # for a connection to come up, where the settings name no time
+MAX_IDLE_RATIO = 0.6  # of the server's own idle time: after that this side closes first
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
@@ -79,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotReleased:
+class SetupFinished:
     """A set-up that had left on the connection has its end."""
 
     conn: int
@@ -123,7 +125,7 @@
     | ConnectionOpened
     | ConnectionLost
     | DataReceived
-    | SlotReleased
+    | SetupFinished
     | SessionsChanged
     | ServerRemoved
     | ConnectionYielded
@@ -150,7 +152,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetupUnreached:
+class SetupNotSent:
     """No connection for the set-up: nothing of it has left."""
 
     key: int
@@ -181,35 +183,35 @@
 class SessionsLost:
     """Every session that played there is over."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class DropUnsent:
+class DiscardUnsent:
     """What was to be sent there concerns nothing any more: the process that it was for is gone."""
 
 
 Action = (
     OpenConnection
     | UseConnection
-    | SetupUnreached
+    | SetupNotSent
     | PingConnection
     | CloseConnection
     | RetireConnection
     | SessionsLost
-    | DropUnsent
+    | DiscardUnsent
 )
 
 
 @dataclass(slots=True)
 class _Connection:
-    since: float
+    opened_at: float
     up: bool = False
-    out: int = 0
-    heard_at: float = 0.0
-    used_at: float = 0.0
+    in_flight: int = 0
+    last_received_at: float = 0.0
+    last_used_at: float = 0.0
     pinged_at: float = 0.0  # 0: no test is out
-    old: bool = False  # to an address that the server has left: nothing new goes there
+    outdated: bool = False  # to an address that the server has left: nothing new goes there
 
 
 @dataclass(slots=True)
@@ -219,16 +221,16 @@
     connect_ms: float
     idle_ms: float
     max_connections: int  # connections at once
-    streams: int  # set-ups at once that one connection takes, by the settings
+    max_streams: int  # set-ups at once that one connection takes, by the settings
     sessions: int = 0
     is_removed: bool = False
     connections: dict[int, _Connection] = field(default_factory=dict)
     waiting: deque[tuple[int, float]] = field(default_factory=deque)  # set-up, since when
-    heard_at: float = 0.0
-    tried_at: float = 0.0
+    last_received_at: float = 0.0
+    last_open_at: float = 0.0
     connect_requested: bool = False  # something waits for any connection
-    tries: int = 0  # of a connection for what it owes, in a row
-    _last: int = 0
+    open_attempts: int = 0  # of a connection for what it owes, in a row
+    _last_conn: int = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event in; `now` in ms."""
@@ -237,13 +239,13 @@
                 return self._data_received(now, conn)
             case SetupQueued(key):
                 return self._queue_setup(now, key)
-            case SlotReleased(conn):
+            case SetupFinished(conn):
                 return self._slot_released(now, conn)
             case SetupCancelled(key):
                 self.waiting = deque(wait for wait in self.waiting if wait[0] != key)
                 return []
             case ConnectRequested():
-                self.connect_requested, self.tries = True, 0
+                self.connect_requested, self.open_attempts = True, 0
                 return [] if self.connections else [self._open(now)]
             case ConnectionOpened(conn):
                 return self._opened(now, conn)
@@ -263,24 +265,24 @@
     @property
     def latest_up(self) -> int | None:
         """The connection last heard of."""
-        ups = [(c.heard_at, name) for name, c in self.connections.items() if c.up]
+        ups = [(c.last_received_at, name) for name, c in self.connections.items() if c.up]
         return max(ups)[1] if ups else None
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """Set-ups that have left and have no end yet."""
-        return sum(conn.out for conn in self.connections.values())
+        return sum(conn.in_flight for conn in self.connections.values())
 
     @property
     def unused(self) -> bool:
         """Nothing is out, plays or waits there."""
-        return not (self.sessions or self.waiting or self.out)
+        return not (self.sessions or self.waiting or self.in_flight)
 
     def _open(self, now: float) -> OpenConnection:
-        self._last += 1
-        self.connections[self._last] = _Connection(now)
-        self.tried_at = now
-        return OpenConnection(self._last, self.connect_ms)
+        self._last_conn += 1
+        self.connections[self._last_conn] = _Connection(now)
+        self.last_open_at = now
+        return OpenConnection(self._last_conn, self.connect_ms)
 
     def _queue_setup(self, now: float, key: int) -> list[Action]:
         best: int | None = None
@@ -288,72 +290,81 @@
             # one that is being tested may be dead; one long idle may be closed by the server at this moment
             if (
                 conn.up
-                and not conn.out
+                and not conn.in_flight
                 and not conn.pinged_at
-                and not conn.old
-                and now - conn.used_at < self.idle_ms * IDLE_RATIO
+                and not conn.outdated
+                and now - conn.last_used_at < self.idle_ms * MAX_IDLE_RATIO
             ):
-                best = name if best is None or conn.heard_at >= self.connections[best].heard_at else best
+                best = (
+                    name
+                    if best is None or conn.last_received_at >= self.connections[best].last_received_at
+                    else best
+                )
         if best is None and len(self.connections) >= self.max_connections:
             ups = [
-                (c.out, name)
+                (c.in_flight, name)
                 for name, c in self.connections.items()
-                if c.up and not c.pinged_at and not c.old
+                if c.up and not c.pinged_at and not c.outdated
             ]
-            best = min(ups)[1] if ups and min(ups)[0] < self.streams else None
+            best = min(ups)[1] if ups and min(ups)[0] < self.max_streams else None
         if best is not None:
-            return [self._use(now, best, key)]
+            return [self._assign(now, best, key)]
         self.waiting.append((key, now))
         opening = sum(1 for c in self.connections.values() if not c.up)
         if opening < len(self.waiting) and len(self.connections) < self.max_connections:
             return [self._open(now)]
         return []
 
-    def _use(self, now: float, name: int, key: int) -> UseConnection:
+    def _assign(self, now: float, name: int, key: int) -> UseConnection:
         conn = self.connections[name]
-        conn.out += 1
-        conn.used_at = now
+        conn.in_flight += 1
+        conn.last_used_at = now
         return UseConnection(name, key)
 
     def _opened(self, now: float, name: int) -> list[Action]:
         conn = self.connections.get(name)
         if conn is None:
             return [CloseConnection(name)]
-        conn.up, conn.heard_at, conn.used_at = True, now, now
+        conn.up, conn.last_received_at, conn.last_used_at = True, now, now
         self.connect_requested = False
         lost: list[Action] = []
-        if self.sessions and now - self.heard_at >= LOST_MS - LATE_OPEN_MS:
+        if self.sessions and now - self.last_received_at >= SILENCE_TIMEOUT_MS - LATE_OPEN_MARGIN_MS:
             # a zone that was lost is back: to hear the new process is not to hear of the sessions of the old
-            self.heard_at = now
+            self.last_received_at = now
             lost.append(SessionsLost(SILENT))
         if self.waiting:
-            return [*lost, self._use(now, name, self.waiting.popleft()[0])]
-        return lost + self._test(now, name, conn) if self.sessions else []
+            return [*lost, self._assign(now, name, self.waiting.popleft()[0])]
+        return lost + self._ping(now, name, conn) if self.sessions else []
 
-    def _test(self, now: float, name: int, conn: _Connection) -> list[Action]:
+    def _ping(self, now: float, name: int, conn: _Connection) -> list[Action]:
         conn.pinged_at = now
         return [PingConnection(name)]
 
     def _data_received(self, now: float, name: int) -> list[Action]:
-        self.heard_at = now
+        self.last_received_at = now
         conn = self.connections.get(name)
         if conn is None:
             return []
-        conn.heard_at, tested, conn.pinged_at = now, conn.pinged_at, 0.0
-        if not (tested and self.waiting and conn.up) or conn.old:
+        conn.last_received_at, pinged_at, conn.pinged_at = now, conn.pinged_at, 0.0
+        if not (pinged_at and self.waiting and conn.up) or conn.outdated:
             return []
         # what came while it was tested waits for it, where there was no room for another connection
         opening = sum(1 for c in self.connections.values() if not c.up)
-        room = min(len(self.waiting) - opening, self.streams - conn.out)
-        return [self._use(now, name, self.waiting.popleft()[0]) for _ in range(room)]
+        room = min(len(self.waiting) - opening, self.max_streams - conn.in_flight)
+        return [self._assign(now, name, self.waiting.popleft()[0]) for _ in range(room)]
 
     def _slot_released(self, now: float, name: int) -> list[Action]:
         conn = self.connections.get(name)
         if conn is None:
             return []
-        conn.out = max(conn.out - 1, 0)
-        if self.waiting and conn.up and not (conn.pinged_at or conn.old) and conn.out < self.streams:
-            return [self._use(now, name, self.waiting.popleft()[0])]
+        conn.in_flight = max(conn.in_flight - 1, 0)
+        if (
+            self.waiting
+            and conn.up
+            and not (conn.pinged_at or conn.outdated)
+            and conn.in_flight < self.max_streams
+        ):
+            return [self._assign(now, name, self.waiting.popleft()[0])]
         return []
 
     def _connection_lost(self, now: float, name: int, refused: bool) -> list[Action]:
@@ -363,9 +374,9 @@
         actions: list[Action] = []
         if refused and self.connect_requested and not any(c.up for c in self.connections.values()):
             self.connect_requested = False
-            actions.append(DropUnsent())
+            actions.append(DiscardUnsent())
         if not conn.up and self.waiting:
-            actions.append(SetupUnreached(self.waiting.popleft()[0]))
+            actions.append(SetupNotSent(self.waiting.popleft()[0]))
         if self.sessions and not any(c.up for c in self.connections.values()):
             if refused or self.is_removed:
                 return [*actions, SessionsLost("refused" if refused else "gone")]
@@ -381,12 +392,12 @@
 
     def _removed(self) -> list[Action]:
         self.is_removed = True
-        actions: list[Action] = [DropUnsent()] if self.connect_requested else []
+        actions: list[Action] = [DiscardUnsent()] if self.connect_requested else []
         self.connect_requested = False
         for name in [name for name, conn in self.connections.items() if not conn.up]:
             del self.connections[name]
             actions.append(CloseConnection(name))
-        actions += [SetupUnreached(key) for key, _ in self.waiting]
+        actions += [SetupNotSent(key) for key, _ in self.waiting]
         self.waiting.clear()
         return actions
 
@@ -395,12 +406,12 @@
         actions: list[Action] = []
         if moved:
             for name, conn in list(self.connections.items()):
-                if conn.out:
-                    conn.old = True
+                if conn.in_flight:
+                    conn.outdated = True
                 else:
                     del self.connections[name]
                     actions.append(RetireConnection(name) if conn.up else CloseConnection(name))
-            if not any(not conn.old for conn in self.connections.values()) and (
+            if not any(not conn.outdated for conn in self.connections.values()) and (
                 self.waiting or self.sessions
             ):
                 actions.append(self._open(now))
@@ -409,7 +420,7 @@
     def _yielded(self, now: float, name: int) -> list[Action]:
         if self.connections.pop(name, None) is None:
             return []
-        self.tried_at = now  # not opened again at once: the place is another server's for now
+        self.last_open_at = now  # not opened again at once: the place is another server's for now
         return [CloseConnection(name)]
 
     def _sessions_changed(self, now: float, count: int) -> list[Action]:
@@ -417,7 +428,7 @@
         self.sessions = count
         if first:
             # silence counts from here: nothing was listened for before
-            self.heard_at = now
+            self.last_received_at = now
         return [self._open(now)] if first and not self.connections else []
 
     def _tick(self, now: float) -> list[Action]:
@@ -425,32 +436,38 @@
         listened = self.latest_up if self.sessions else None  # one is enough to hear of sessions
         for name, conn in list(self.connections.items()):
             if not conn.up:
-                if now - conn.since >= self.connect_ms:
+                if now - conn.opened_at >= self.connect_ms:
                     actions += [CloseConnection(name), *self._connection_lost(now, name, False)]
                 continue
-            if conn.pinged_at and now - conn.pinged_at >= PONG_WITHIN_MS:
+            if conn.pinged_at and now - conn.pinged_at >= PING_TIMEOUT_MS:
                 actions += [CloseConnection(name), *self._connection_lost(now, name, False)]
                 continue
-            quiet = now - max(conn.heard_at, conn.used_at) >= min(PING_AFTER_MS, self.idle_ms * IDLE_RATIO)
-            minds = conn.out or name == listened
-            if quiet and minds and not conn.pinged_at:
-                actions += self._test(now, name, conn)
-            idle = conn.old or (not minds and now - conn.used_at >= self.idle_ms * IDLE_RATIO)
-            if not conn.out and idle:
+            quiet = now - max(conn.last_received_at, conn.last_used_at) >= min(
+                PING_IDLE_MS, self.idle_ms * MAX_IDLE_RATIO
+            )
+            needed = conn.in_flight or name == listened
+            if quiet and needed and not conn.pinged_at:
+                actions += self._ping(now, name, conn)
+            idle = conn.outdated or (not needed and now - conn.last_used_at >= self.idle_ms * MAX_IDLE_RATIO)
+            if not conn.in_flight and idle:
                 del self.connections[name]
                 actions.append(RetireConnection(name))
-        wait = REOPEN_MS
+        wait = REOPEN_INTERVAL_MS
         if self.waiting and not self.connections:  # the last one went for its age or its address
             return [*actions, self._open(now)]
         if self.sessions:
-            if now - self.heard_at >= LOST_MS:
-                self.heard_at = now
+            if now - self.last_received_at >= SILENCE_TIMEOUT_MS:
+                self.last_received_at = now
                 return [*actions, SessionsLost(SILENT)]
             if self.is_removed and not self.connections:
                 return [*actions, SessionsLost("gone")]
         elif self.connect_requested:  # nobody waits for it here: less and less often
-            wait = min(REOPEN_MS * 2**self.tries, MAX_REOPEN_MS)
-        if (self.sessions or self.connect_requested) and not self.connections and now - self.tried_at >= wait:
-            self.tries += 1
+            wait = min(REOPEN_INTERVAL_MS * 2**self.open_attempts, MAX_REOPEN_INTERVAL_MS)
+        if (
+            (self.sessions or self.connect_requested)
+            and not self.connections
+            and now - self.last_open_at >= wait
+        ):
+            self.open_attempts += 1
             actions.append(self._open(now))
         return actions
--- a/foxlift/platform/settings.py
+++ b/foxlift/platform/settings.py
@@ -16,7 +16,7 @@
 from foxlift.platform.viewers import node_number
 from foxlift.wiresettings import LOAD_FIELDS, Params, SettingsError, settings_of
 
-MAX_CONFIG = 16 * 1024 * 1024  # bytes
+MAX_CONFIG_BYTES = 16 * 1024 * 1024  # bytes
 PHASES = {"active": fl.Status.READY, "leaving": fl.Status.DRAINING, "left": fl.Status.GONE}
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
+class ListedServer:
     """One entry of the coordinator's list; `info` is what the module is told of it."""
 
     info: fl.NodeInfo
@@ -83,12 +83,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ListUpdate:
     """One event of the coordinator: the whole list or what has changed."""
 
     number: int
-    whole: bool
-    boxes: tuple[Box, ...]
+    full: bool
+    servers: tuple[ListedServer, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,9 +105,9 @@
     tenant_names: dict[str, int]
     columns: frozenset[str]  # of a load report, as the module can use them
     idle_ms: float
-    streams: int  # set-ups at once on one connection to a box
+    max_streams: int  # set-ups at once on one connection to a box
     zones: int  # how many the settings name
-    known: tuple[Told, ...]
+    known: tuple[ListUpdate, ...]
     known_number: int
 
 
@@ -125,8 +125,8 @@
 
 def read(data: bytes) -> Config:
     """Turn the file's bytes into a Config. Raises ConfigError."""
-    if len(data) > MAX_CONFIG:
-        raise ConfigError(f"the file is larger than {MAX_CONFIG} bytes")
+    if len(data) > MAX_CONFIG_BYTES:
+        raise ConfigError(f"the file is larger than {MAX_CONFIG_BYTES} bytes")
     try:
         raw = msgspec.json.decode(data, type=_Config)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
@@ -137,12 +137,12 @@
         zones, kinds = params.items("zones", ""), params.items("models", "")
         columns = frozenset(params.items("telemetry.columns", "")) & LOAD_FIELDS.keys()
         idle_ms = params.number("limits.keepalive_ms", 30000.0)
-        streams = max(params.whole("limits.max_streams", 1), 1)
+        max_streams = max(params.whole("limits.max_streams", 1), 1)
     except (SettingsError, OverflowError) as error:
         raise ConfigError(str(error)) from error
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from error
-    _check(module)
+    _validate(module)
     try:
         seed = int(raw.seed, 16)
     except ValueError as error:
@@ -150,11 +150,11 @@
     if raw.limits.sockets < 64:
         raise ConfigError(f"limits.sockets: {raw.limits.sockets} is less than a director can work with (64)")
     known = tuple(
-        Told(
+        ListUpdate(
             update.index,
             update.endpoints.complete,
             tuple(
-                _box(member, f"known.updates.{k}.endpoints.members.{m}", zones, kinds, module.cells)
+                _server(member, f"known.updates.{k}.endpoints.members.{m}", zones, kinds, module.cells)
                 for m, member in enumerate(update.endpoints.members)
             ),
         )
@@ -171,19 +171,19 @@
         tenant_names={tenant.name: k for k, tenant in enumerate(module.tenants)},
         columns=columns,
         idle_ms=idle_ms,
-        streams=streams,
+        max_streams=max_streams,
         zones=len(zones),
         known=known,
-        known_number=max([raw.known.index, *(told.number for told in known)]),
+        known_number=max([raw.known.index, *(update.number for update in known)]),
     )
 
 
-def _check(module: fl.Settings) -> None:
+def _validate(module: fl.Settings) -> None:
     """What the module takes for granted. Raises ConfigError."""
     rungs = len(module.ladder_kb)
     info, rules = "settings.family_info.", "settings.invariants."
     rising = all(a < b for a, b in zip((0.0, *module.ladder_kb), module.ladder_kb, strict=False))
-    for well, path, what in (
+    for valid, path, what in (
         (bool(module.classes), "settings.categories", "names no class"),
         (rungs > 0 and rising, info + "ladder_kb", "does not rise from above 0"),
         (len(module.ladder_worth) == rungs, info + "ladder_worth", "has not a worth for each rung"),
@@ -203,17 +203,17 @@
             for klass in module.classes
         ),
     ):
-        if not well:
+        if not valid:
             raise ConfigError(f"{path} {what}")
 
 
-def _place(name: str, names: list[str], path: str) -> int:
+def _index(name: str, names: list[str], path: str) -> int:
     if name not in names:
         raise ConfigError(f"{path}: {name[:40]!r} is not in the settings")
     return names.index(name)
 
 
-def _box(member: _Member, path: str, zones: list[str], kinds: list[str], cells: int) -> Box:
+def _server(member: _Member, path: str, zones: list[str], kinds: list[str], cells: int) -> ListedServer:
     try:
         number = node_number(member.id)
     except ValueError as error:
@@ -224,11 +224,11 @@
         raise ConfigError(f"{path}.cell: {member.cell} is not under {cells}")
     info = fl.NodeInfo(
         node=number,
-        zone=_place(member.locality, zones, path + ".locality"),
-        kind=_place(member.flavor, kinds, path + ".flavor"),
+        zone=_index(member.locality, zones, path + ".locality"),
+        kind=_index(member.flavor, kinds, path + ".flavor"),
         cell=member.cell,
         status=PHASES[member.phase],
         weight=member.size,
         started_ms=member.up_since_ms,
     )
-    return Box(info, address(member.host_port, path + ".host_port"))
+    return ListedServer(info, address(member.host_port, path + ".host_port"))
--- a/foxlift/platform/stop.py
+++ b/foxlift/platform/stop.py
@@ -23,20 +23,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ARRIVE_MS = 700.0  # after the word to stop: so long requests may still arrive, by the protocol page
-MOST_DEADLINE_MS = 3000.0  # the page counts no deadline as longer here
-STAY_SLACK_MS = 250.0
-LAST_ANSWERS_MS = 200.0  # before the kill: what is still open is answered then
-LAST_WRITES_MS = 100.0  # before the kill: an end with something unsent, for it cannot get any better
-LOOKS = 5  # turns of the loop without anything new
+ARRIVAL_WINDOW_MS = 700.0  # after the word to stop: so long requests may still arrive, by the protocol page
+MAX_DEADLINE_MS = 3000.0  # the page counts no deadline as longer here
+ARRIVAL_SLACK_MS = 250.0
+FINAL_ANSWERS_MS = 200.0  # before the kill: what is still open is answered then
+FINAL_WRITES_MS = 100.0  # before the kill: an end with something unsent, for it cannot get any better
+MIN_QUIET_CHECKS = 5  # turns of the loop without anything new
 
 
 class State(Enum):
     """Of a director as its end goes."""
 
     SERVING = "serving"
-    STAYING = "staying"
-    LOOKING = "looking"
+    DRAINING = "staying"
+    CHECKING = "looking"
     ENDED = "ended"
 
 
@@ -45,54 +45,54 @@
 
     WAIT = "wait for the next look in its own time"
     ANSWER = "answer what is open, then as LOOK"
-    LOOK = "look at the sockets once more, then here again"
+    CHECK = "look at the sockets once more, then here again"
     END = "end"
 
 
 @dataclass(frozen=True, slots=True)
-class Owed:
+class PendingWork:
     """What a director owes at a look, and how much it has heard so far."""
 
     unanswered: int  # requests taken and not answered
     unsent: int  # bytes or messages that are written and not taken by the machine
-    heard: int  # connections and reads so far: more than at the last look means something came
+    received: int  # connections and reads so far: more than at the last look means something came
 
 
-class Stop:
+class GracefulStop:
     """Decides when the process ends. `deadlines`: of the settings' classes, ms."""
 
     def __init__(self, deadlines: Iterable[float]) -> None:
-        self.killed_after_ms = min(max(deadlines, default=0.0), MOST_DEADLINE_MS) + ARRIVE_MS
+        self.killed_after_ms = min(max(deadlines, default=0.0), MAX_DEADLINE_MS) + ARRIVAL_WINDOW_MS
         self.state = State.SERVING
-        self._since = 0.0
-        self._heard = -1
-        self._quiet = 0  # looks in a row with nothing new
+        self._stop_at = 0.0
+        self._received = -1
+        self._quiet_checks = 0  # looks in a row with nothing new
 
-    def told(self, now: float) -> bool:
+    def begin(self, now: float) -> bool:
         """The word to stop came; False where it had come before. `now` in ms."""
         if self.state is not State.SERVING:
             return False
-        self.state, self._since = State.STAYING, now
+        self.state, self._stop_at = State.DRAINING, now
         return True
 
-    def look(self, now: float, owed: Owed) -> Step:
+    def check(self, now: float, pending: PendingWork) -> Step:
         """The sockets were read; what to do now. `now` in ms."""
         if self.state in (State.SERVING, State.ENDED):
             return Step.WAIT
-        stayed = now - self._since
-        left = self.killed_after_ms - stayed
-        if left <= LAST_ANSWERS_MS and owed.unanswered:
+        elapsed_ms = now - self._stop_at
+        remaining_ms = self.killed_after_ms - elapsed_ms
+        if remaining_ms <= FINAL_ANSWERS_MS and pending.unanswered:
             return Step.ANSWER
-        hurried = left <= LAST_WRITES_MS
-        if stayed < min(ARRIVE_MS + STAY_SLACK_MS, self.killed_after_ms - LAST_ANSWERS_MS) or (
-            (owed.unanswered or owed.unsent) and not hurried
-        ):
-            self.state, self._quiet = State.STAYING, 0
+        out_of_time = remaining_ms <= FINAL_WRITES_MS
+        if elapsed_ms < min(
+            ARRIVAL_WINDOW_MS + ARRIVAL_SLACK_MS, self.killed_after_ms - FINAL_ANSWERS_MS
+        ) or ((pending.unanswered or pending.unsent) and not out_of_time):
+            self.state, self._quiet_checks = State.DRAINING, 0
             return Step.WAIT
-        new, self._heard = owed.heard != self._heard, owed.heard
-        self._quiet = 0 if new and not hurried else self._quiet + 1
-        if self._quiet >= LOOKS:
+        new, self._received = pending.received != self._received, pending.received
+        self._quiet_checks = 0 if new and not out_of_time else self._quiet_checks + 1
+        if self._quiet_checks >= MIN_QUIET_CHECKS:
             self.state = State.ENDED
             return Step.END
-        self.state = State.LOOKING
-        return Step.LOOK
+        self.state = State.CHECKING
+        return Step.CHECK
--- a/foxlift/platform/transport.py
+++ b/foxlift/platform/transport.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from foxlift.director.timeline import Timeline
-from foxlift.platform import descriptors, feed, server_pool
+from foxlift.platform import descriptors, discovery_watch, server_pool
 from foxlift.platform import events as ev
 from foxlift.platform.admission import ConnectionAdmission
 from foxlift.platform.client_connection import ClientConnection
@@ -25,7 +25,7 @@
 from foxlift.platform.server_connections import ServerConnections
 from foxlift.platform.settings import Config, ConfigError, read
 from foxlift.platform.setups import ClientSocket
-from foxlift.platform.stop import Owed, State, Step, Stop
+from foxlift.platform.stop import GracefulStop, PendingWork, State, Step
 
 TICK_MS = 100.0  # how often connections are looked over
 STALL_MS = 20.0  # a loop that stood still for longer looks at its sockets before its timers
@@ -48,18 +48,18 @@
         self.discovery = Discovery(self, config, loop)
         self._clients: dict[int, ClientConnection] = {}
         self._last_client = 0
-        self.full: set[ClientConnection] = set()  # that do not read what is written to them
+        self.write_blocked: set[ClientConnection] = set()  # that do not read what is written to them
         self.closing = ClosingConnections()
         self._server: asyncio.Server | None = None
-        self._stop = Stop(klass.deadline_ms for klass in config.module.classes)
-        self._heard = 0  # connections from viewers and reads on them
+        self._stop = GracefulStop(klass.deadline_ms for klass in config.module.classes)
+        self._received = 0  # connections from viewers and reads on them
         self._summary_at = self.timeline.now() + SUMMARY_MS
 
     # ---- Life ---------------------------------------------------------------------------------------------
     async def start(self) -> None:
         """Listen, and hear the coordinator. Raises OSError where the address cannot be had."""
-        for told in self.config.known:
-            self.tell(ev.Listed(told))
+        for update in self.config.known:
+            self.notify_core(ev.ListUpdated(update))
         self._server = await self._loop.create_server(
             lambda: ClientConnection(self), self.config.listen.host, self.config.listen.port, backlog=1024
         )
@@ -83,24 +83,24 @@
             with open(self._config_path, "rb") as file:
                 config = read(file.read())
         except (OSError, ConfigError) as error:
-            self.log.say("configuration not taken over", str(error))
+            self.log.write("configuration not taken over", str(error))
             return
         self.count["reloads"] += 1
-        self.discovery.handle(feed.Moved(config.coordinator))
+        self.discovery.handle(discovery_watch.AddressChanged(config.coordinator))
 
     def stop(self) -> None:
         """SIGTERM: go on until nothing is owed and nothing more can come."""
-        if self._stop.told(self.timeline.now()):
-            self.log.say("stopping", f"{self.core.unanswered} set-ups unanswered")
+        if self._stop.begin(self.timeline.now()):
+            self.log.write("stopping", f"{self.core.unanswered} set-ups unanswered")
 
-    def _look(self) -> None:
+    def _check_stop(self) -> None:
         """A stopping director's look at what it owes."""
-        match self._stop.look(self.timeline.now(), self._owed()):
+        match self._stop.check(self.timeline.now(), self._pending_work()):
             case Step.ANSWER:
-                self.tell(ev.LastAnswers())
-                self._loop.call_soon(self._look)
-            case Step.LOOK:
-                self._loop.call_soon(self._look)
+                self.notify_core(ev.ShutdownImminent())
+                self._loop.call_soon(self._check_stop)
+            case Step.CHECK:
+                self._loop.call_soon(self._check_stop)
             case Step.END:
                 if self._server is not None:
                     self._server.close()
@@ -108,13 +108,13 @@
             case Step.WAIT:
                 pass
 
-    def _owed(self) -> Owed:
+    def _pending_work(self) -> PendingWork:
         written = sum(
             viewer.transport.get_write_buffer_size()
             for viewer in self._clients.values()
             if viewer.transport is not None
         )
-        return Owed(self.core.unanswered, written + self.servers.unwritten(), self._heard)
+        return PendingWork(self.core.unanswered, written + self.servers.unsent_size(), self._received)
 
     def lag(self) -> float:
         """How long what is read now may have lain unread, ms."""
@@ -124,43 +124,47 @@
         self.timeline.later(TICK_MS, self._tick)  # first: a fault below must not be the last look
         # a director that serves owes no look, and what is unsent is summed over all connections; one that
         # is LOOKING looks again by itself
-        if self._stop.state not in (State.SERVING, State.LOOKING):
-            self._look()
+        if self._stop.state not in (State.SERVING, State.CHECKING):
+            self._check_stop()
         self.after_reading(self._close_overdue)
         now = self.timeline.now()
         self.servers.tick()
         if now >= self._summary_at:
             self._summary_at = now + SUMMARY_MS
-            self.log.say("so far", self.last_line())
+            self.log.write("so far", self.summary_line())
 
     def _stalled(self, late_ms: float) -> None:
         self.count["stalls"] += 1
 
-    def last_line(self) -> str:
+    def summary_line(self) -> str:
         """What happened how often, and how much is held."""
         counts = self.core.counts + self.count
         counts.update(
-            {"feed gaps": self.discovery.feed.gaps, "feed connections": self.discovery.feed.reconnects}
+            {"feed gaps": self.discovery.watch.gaps, "feed connections": self.discovery.watch.reconnects}
+        )
+        endings = self.core.session_endings
+        counts.update({"farewells kept": len(endings), "farewells again": endings.resent})
+        counts.update(
+            {"released again": self.core.viewer_releases.resent, "turned away": self.admission.rejected}
         )
-        farewells = self.core.farewells
-        counts.update({"farewells kept": len(farewells), "farewells again": farewells.again})
-        counts.update({"released again": self.core.releases.again, "turned away": self.admission.rejected})
         counted = ", ".join(f"{name} {n}" for name, n in sorted(counts.items()) if n)
-        sizes = ", ".join(f"{name} {n}" for name, n in self.core.sizes().items())
+        sizes = ", ".join(f"{name} {n}" for name, n in self.core.table_sizes().items())
         sockets = f"viewers {len(self._clients)}, box connections {len(self.servers.connections)}"
-        return f"{counted}; tables: {sizes}; sockets: {sockets}; feed at {self.discovery.feed.number}"
+        return f"{counted}; tables: {sizes}; sockets: {sockets}; feed at {self.discovery.watch.number}"
 
-    def boxes_line(self) -> str:
+    def servers_line(self) -> str:
         """For each box: sessions and set-ups that are believed there, and set-ups out on its connections."""
-        believed = self.core.believed()
-        held = {node: (len(pool.connections), pool.out) for node, pool in self.servers.pools.items()}
+        usage = self.core.server_usage()
+        connections = {
+            node: (len(pool.connections), pool.in_flight) for node, pool in self.servers.pools.items()
+        }
         return ", ".join(
-            f"s-{node:08x} plays {believed.get(node, (0, 0))[0]} sets up {believed.get(node, (0, 0))[1]}"
-            f" out {held.get(node, (0, 0))[1]} on {held.get(node, (0, 0))[0]}"
-            for node in sorted({*believed, *held})
+            f"s-{node:08x} plays {usage.get(node, (0, 0))[0]} sets up {usage.get(node, (0, 0))[1]}"
+            f" out {connections.get(node, (0, 0))[1]} on {connections.get(node, (0, 0))[0]}"
+            for node in sorted({*usage, *connections})
         )
 
-    def guard(self, context: dict[str, object]) -> None:
+    def handle_exception(self, context: dict[str, object]) -> None:
         """An exception that nobody caught ends in a line, and where it belongs to a connection, closes it."""
         self.count["exceptions"] += 1
         error = context.get("exception")
@@ -171,7 +175,7 @@
                 frames = frames.tb_next
             at = f"{frames.tb_frame.f_code.co_filename}:{frames.tb_lineno}" if frames is not None else ""
             where = f"{type(error).__name__}: {error} at {at}"
-        self.log.say("exception", f"{context.get('message')} {where}")
+        self.log.write("exception", f"{context.get('message')} {where}")
         transport = context.get("transport")
         if transport is not None:  # uvloop's are no asyncio.Transport by class
             cast(asyncio.Transport, transport).abort()
@@ -179,49 +183,49 @@
     def log_task_error(self, task: asyncio.Task[None]) -> None:
         """RateLimitedLog what a task ended with, where that is an exception."""
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.guard({"message": "connecting", "exception": error})
+            self.handle_exception({"message": "connecting", "exception": error})
 
     # ---- The core -----------------------------------------------------------------------------------------
-    def tell(self, event: ev.Event) -> None:
+    def notify_core(self, event: ev.Event) -> None:
         """Tell the core, and do what it wants."""
         self.lag()
         for action in self.core.handle(self.timeline.now(), event):
             self._carry_out(action)
-        for viewer in tuple(self.full):
-            viewer.rest()
+        for viewer in tuple(self.write_blocked):
+            viewer.update_reading()
         self._lag.work_ends(time.monotonic() * 1000)
 
     def _carry_out(self, action: ev.Action) -> None:
         match action:
-            case ev.ToViewer(conn, data):
+            case ev.SendToViewer(conn, data):
                 viewer = self._clients.get(conn)
                 if viewer is not None:
                     viewer.send(data)
             case ev.StartTimer(delay_ms, event):
-                self.timeline.later(delay_ms, lambda: self.after_reading(lambda: self.tell(event)))
-            case ev.SendSetUp(number, node):
-                self.servers.want(number, node)
-            case ev.StopSetUp(number, node):
+                self.timeline.later(delay_ms, lambda: self.after_reading(lambda: self.notify_core(event)))
+            case ev.QueueSetup(number, node):
+                self.servers.queue_setup(number, node)
+            case ev.CancelSetup(number, node):
                 self.servers.handle(node, server_pool.SetupCancelled(number))
-            case ev.ToBox(node, conn, data, only):
-                self.servers.send(node, conn, data, only)
-            case ev.SetUpEnded(node, conn):
-                self.servers.handle(node, server_pool.SlotReleased(conn))
-            case ev.Standing(node, count):
+            case ev.SendToServer(node, conn, data, this_connection_only):
+                self.servers.send(node, conn, data, this_connection_only)
+            case ev.SetupFinished(node, conn):
+                self.servers.handle(node, server_pool.SetupFinished(conn))
+            case ev.SetSessionCount(node, count):
                 self.servers.handle(node, server_pool.SessionsChanged(count))
-            case ev.ViewerSessions(conn, change):
+            case ev.ChangeViewerSessions(conn, change):
                 self.admission.sessions_changed(conn, change)
-            case ev.BoxListed(node, address):
-                self.servers.listed(node, address)
-            case ev.BoxGone(node):
+            case ev.AddServer(node, address):
+                self.servers.server_listed(node, address)
+            case ev.RemoveServer(node):
                 self.servers.handle(node, server_pool.ServerRemoved())
-            case ev.ProtocolError(conn):
+            case ev.RecordProtocolError(conn):
                 viewer = self._clients.get(conn)
                 if self.admission.record_protocol_error(conn) and viewer is not None:
                     self.count["viewer blamed"] += 1
                     viewer.close()
-            case ev.Say(what, detail):
-                self.log.say(what, detail)
+            case ev.WriteLog(log_event, detail):
+                self.log.write(log_event, detail)
 
     def after_reading(self, callback: Callable[[], None]) -> None:
         """Call back when all is read that had come by now.
@@ -235,7 +239,7 @@
     # ---- Viewers ------------------------------------------------------------------------------------------
     def client_opened(self, viewer: ClientConnection) -> int:
         """A connection came; its number."""
-        self._heard += 1
+        self._received += 1
         self._last_client += 1
         self._clients[self._last_client] = viewer
         evicted = self.admission.opened(self.timeline.now(), self._last_client)
@@ -262,17 +266,17 @@
 
     def client_read(self) -> float:
         """Bytes of a viewer are read; how long they may have lain unread, ms."""
-        self._heard += 1
+        self._received += 1
         return self.lag()
 
-    def client_received(self, number: int, proven: bool, half: bool) -> None:
+    def client_received(self, number: int, proven: bool, partial: bool) -> None:
         """Bytes came on a connection."""
-        self.admission.received(self.timeline.now(), number, proven, half)
+        self.admission.received(self.timeline.now(), number, proven, partial)
 
     def client_left(self, number: int) -> None:
         """Nothing more will be heard on a connection, though it may still be written to."""
         self.admission.closed(number)
-        self.tell(ev.ViewerGone(number))
+        self.notify_core(ev.ViewerDisconnected(number))
 
     def client_closed(self, number: int) -> None:
         """A connection is over."""
@@ -296,7 +300,7 @@
     def client_socket(self, request: int) -> ClientSocket:
         """What the socket of a request's client holds that was not read yet."""
         viewer = self._client_of(request)
-        return ClientSocket.NOTHING if viewer is None else viewer.unread()
+        return ClientSocket.NOTHING if viewer is None else viewer.socket_state()
 
     def note_reset_client(self, request: int) -> None:
         """Have the core know where the request's client has reset its connection.
--- a/foxlift/platform/releases.py
+++ b/foxlift/platform/viewer_releases.py
@@ -19,9 +19,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-OWED_MS = 8000.0  # viewers are owed word within 8 s of an end
-MOST_OWED = 4096  # releases kept while no connection is open
-MOST_UNCONFIRMED = 256  # on one connection: of viewers that confirm nothing the oldest has long arrived
+RETENTION_MS = 8000.0  # viewers are owed word within 8 s of an end
+MAX_UNSENT = 4096  # releases kept while no connection is open
+MAX_UNCONFIRMED = 256  # on one connection: of viewers that confirm nothing the oldest has long arrived
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,43 +33,43 @@
 
 
 @dataclass(slots=True)
-class Releases:
+class ViewerReleases:
     """Every release that is not confirmed, and the connections that may carry one."""
 
-    again: int = 0  # written again because a connection ended
+    resent: int = 0  # written again because a connection ended
     expired: int = 0
-    _served: dict[int, None] = field(default_factory=dict)  # in order of their last use
-    _asked: dict[int, None] = field(default_factory=dict)
+    _serving: dict[int, None] = field(default_factory=dict)  # in order of their last use
+    _requesting: dict[int, None] = field(default_factory=dict)
     # by connection and id, in order of their writing: since when it is owed, the release
     _sent: dict[tuple[int, str], tuple[float, bytes]] = field(default_factory=dict)
     _sent_on: dict[int, dict[str, None]] = field(default_factory=dict)  # the same ids by connection
-    _owed: deque[tuple[float, str, bytes]] = field(default_factory=deque)
+    _unsent: deque[tuple[float, str, bytes]] = field(default_factory=deque)
 
     def __len__(self) -> int:
-        return len(self._owed) + len(self._sent)
+        return len(self._unsent) + len(self._sent)
 
-    def asked(self, now: float, conn: int) -> list[Write]:
+    def session_requested(self, now: float, conn: int) -> list[Write]:
         """A session was asked for on the connection."""
-        self._asked.pop(conn, None)
-        self._asked[conn] = None
+        self._requesting.pop(conn, None)
+        self._requesting[conn] = None
         self._expire(now)
-        return self._pay(now)
+        return self._send_unsent(now)
 
-    def served(self, now: float, conn: int) -> list[Write]:
+    def session_started(self, now: float, conn: int) -> list[Write]:
         """A session of the connection stands."""
-        self._served.pop(conn, None)
-        self._served[conn] = None
+        self._serving.pop(conn, None)
+        self._serving[conn] = None
         self._expire(now)
-        return self._pay(now)
+        return self._send_unsent(now)
 
-    def over(self, since: float, conn: int, tag: str, data: bytes) -> list[Write]:
+    def add(self, since: float, conn: int, tag: str, data: bytes) -> list[Write]:
         """A session is over, now or then, whose viewer is owed word; `conn` is the one that it came on."""
-        if conn not in self._served and conn not in self._asked:
-            other = next(reversed(self._served), None) or next(reversed(self._asked), None)
+        if conn not in self._serving and conn not in self._requesting:
+            other = next(reversed(self._serving), None) or next(reversed(self._requesting), None)
             if other is None:
-                self._owed.append((since, tag, data))
-                if len(self._owed) > MOST_OWED:
-                    self._owed.popleft()
+                self._unsent.append((since, tag, data))
+                if len(self._unsent) > MAX_UNSENT:
+                    self._unsent.popleft()
                     self.expired += 1
                 return []
             conn = other
@@ -77,7 +77,7 @@
         self._sent[conn, tag] = since, data
         tags = self._sent_on.setdefault(conn, {})
         tags[tag] = None
-        if len(tags) > MOST_UNCONFIRMED:
+        if len(tags) > MAX_UNCONFIRMED:
             self.confirmed(conn, next(iter(tags)))
         return [Write(conn, data)]
 
@@ -85,7 +85,7 @@
         """Forget what no viewer is owed any more: not every viewer confirms."""
         while self._sent:
             conn, tag = next(iter(self._sent))
-            if now - self._sent[conn, tag][0] <= OWED_MS:
+            if now - self._sent[conn, tag][0] <= RETENTION_MS:
                 return
             self.confirmed(conn, tag)
             self.expired += 1
@@ -98,24 +98,24 @@
             if not tags:
                 del self._sent_on[conn]
 
-    def gone(self, now: float, conn: int) -> list[Write]:
+    def connection_closed(self, now: float, conn: int) -> list[Write]:
         """The connection is over: what it was to carry goes elsewhere."""
-        self._served.pop(conn, None)
-        self._asked.pop(conn, None)
+        self._serving.pop(conn, None)
+        self._requesting.pop(conn, None)
         self._expire(now)
         sent = [(tag, *self._sent.pop((conn, tag))) for tag in self._sent_on.pop(conn, ())]
-        self.again += len(sent)
-        return self._again(now, [(since, tag, data) for tag, since, data in sent])
+        self.resent += len(sent)
+        return self._resend(now, [(since, tag, data) for tag, since, data in sent])
 
-    def _pay(self, now: float) -> list[Write]:
-        owed, self._owed = self._owed, deque()
-        return self._again(now, owed) if owed else []
+    def _send_unsent(self, now: float) -> list[Write]:
+        unsent, self._unsent = self._unsent, deque()
+        return self._resend(now, unsent) if unsent else []
 
-    def _again(self, now: float, owed: Iterable[tuple[float, str, bytes]]) -> list[Write]:
+    def _resend(self, now: float, unsent: Iterable[tuple[float, str, bytes]]) -> list[Write]:
         writes: list[Write] = []
-        for since, tag, data in owed:
-            if now - since > OWED_MS:
+        for since, tag, data in unsent:
+            if now - since > RETENTION_MS:
                 self.expired += 1
             else:
-                writes += self.over(since, 0, tag, data)
+                writes += self.add(since, 0, tag, data)
         return writes
--- a/foxlift/platform/viewers.py
+++ b/foxlift/platform/viewers.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-MAX_LINE = 16 * 1024  # bytes, line feed included
-MAX_FIGURE = 1e9  # no stated time, in ms, or count is larger
+MAX_LINE_BYTES = 16 * 1024  # bytes, line feed included
+MAX_NUMBER = 1e9  # no stated time, in ms, or count is larger
 _HEX = frozenset("0123456789abcdefABCDEF")
 
 
-class Unreadable(ValueError):
+class ProtocolError(ValueError):
     """The connection cannot be read any further."""
 
 
@@ -30,11 +30,11 @@
     klass: str
     tenant: str
     title: str
-    left_ms: float
-    hint_ms: float | None
+    remaining_ms: float
+    length_hint_ms: float | None
     first_cell: int
     holders: int
-    top: int
+    top_rung: int
     viewer: int
     again: bool
     plays_at: int | None
@@ -57,21 +57,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReleaseConfirmed:
     """A release was heard."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
-class Senseless:
+class InvalidSetup:
     """A set-up that can be read and cannot be served; `why` names the field."""
 
     tag: str
-    why: str
+    field_name: str
 
 
-Event = Start | Finish | Echo | Heard | Senseless
+Event = Start | Finish | Echo | ReleaseConfirmed | InvalidSetup
 
 
 class _Line(msgspec.Struct):
@@ -82,7 +82,7 @@
     blob: str | None = None
 
 
-class _Bad(ValueError):
+class _FieldError(ValueError):
     pass
 
 
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class LineReader:
     """Cuts one viewer's bytes into lines and reads them."""
 
     _buffer: bytearray = field(default_factory=bytearray)
@@ -103,19 +103,24 @@
 
     def feed(self, data: bytes) -> list[bytes]:
         """The lines that are whole by now. Raises Unreadable where one is too long."""
-        if not self._buffer and data.endswith(b"\n") and len(data) <= MAX_LINE and data.count(b"\n") == 1:
+        if (
+            not self._buffer
+            and data.endswith(b"\n")
+            and len(data) <= MAX_LINE_BYTES
+            and data.count(b"\n") == 1
+        ):
             return [data]
         self._buffer += data
         lines: list[bytes] = []
         start = 0
         while (end := self._buffer.find(b"\n", start)) >= 0:
-            if end + 1 - start > MAX_LINE:
-                raise Unreadable("line over 16 KiB")
+            if end + 1 - start > MAX_LINE_BYTES:
+                raise ProtocolError("line over 16 KiB")
             lines.append(bytes(self._buffer[start : end + 1]))
             start = end + 1
         del self._buffer[:start]
-        if len(self._buffer) >= MAX_LINE:
-            raise Unreadable("line over 16 KiB")
+        if len(self._buffer) >= MAX_LINE_BYTES:
+            raise ProtocolError("line over 16 KiB")
         return lines
 
 
@@ -124,53 +129,53 @@
     try:
         found = _decode(line)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
-        raise Unreadable("not a message") from error
+        raise ProtocolError("not a message") from error
     tag = found.tag
     if len(tag) != 16 or not _HEX.issuperset(tag):
-        raise Unreadable("no id")
+        raise ProtocolError("no id")
     match found.verb:
         case "START":
             try:
                 return _start(found)
-            except _Bad as error:
-                return Senseless(tag, str(error))
+            except _FieldError as error:
+                return InvalidSetup(tag, str(error))
         case "FINISH":
             cause = found.rc if found.rc is not None else 16
             return Finish(tag, cause if 0 < cause < 128 else 16)
         case "ECHO":
             return Echo(tag)
         case "FINISHED":
-            return Heard(tag)
+            return ReleaseConfirmed(tag)
         case "PENDING" | "ECHOED" | "NOTICE":
             return None
-    raise Unreadable("no such message")
+    raise ProtocolError("no such message")
 
 
 def _text(opts: dict[str, str | int | float], name: str) -> str:
     value = opts.get(name)
     if not isinstance(value, str) or not value:
-        raise _Bad(name)
+        raise _FieldError(name)
     return value
 
 
-def _figure(value: str | int | float | None, name: str, most: float = MAX_FIGURE) -> float:
+def _number(value: str | int | float | None, name: str, maximum: float = MAX_NUMBER) -> float:
     """A number, finite, not negative and not larger than `most`."""
     if isinstance(value, str):
         try:
             # float() also takes "1_0", " 1" and "infinity", which no figure of the protocol is
             if not value or not set(value) <= set("0123456789.+-eE"):
-                raise _Bad(name)
+                raise _FieldError(name)
             value = float(value)
         except ValueError as error:
-            raise _Bad(name) from error
-    if value is None or not math.isfinite(value) or not 0 <= value <= most:
-        raise _Bad(name)
+            raise _FieldError(name) from error
+    if value is None or not math.isfinite(value) or not 0 <= value <= maximum:
+        raise _FieldError(name)
     return float(value)
 
 
-def _whole(value: str | None, name: str, most: int) -> int:
-    if value is None or not (value.isascii() and value.isdigit()) or len(value) > 12 or int(value) > most:
-        raise _Bad(name)
+def _integer(value: str | None, name: str, maximum: int) -> int:
+    if value is None or not (value.isascii() and value.isdigit()) or len(value) > 12 or int(value) > maximum:
+        raise _FieldError(name)
     return int(value)
 
 
@@ -178,27 +183,27 @@
     opts = line.opts
     title = _text(opts, "key")
     if len(title) != 16 or not _HEX.issuperset(title):
-        raise _Bad("key")
+        raise _FieldError("key")
     extras: dict[str, str] = {}
     for part in _text(opts, "extras").split(";"):
         name, _, value = part.partition(":")
         extras[name] = value
     viewer = extras.get("viewer", "0")
     if len(viewer) > 16 or not viewer or not _HEX.issuperset(viewer):
-        raise _Bad("extras.viewer")
+        raise _FieldError("extras.viewer")
     at = extras.get("at")
     if line.blob is None:
-        raise _Bad("description")
+        raise _FieldError("description")
     return Start(
         tag=line.tag,
         klass=_text(opts, "class"),
         tenant=str(opts.get("tenant", "")),
         title=title,
-        left_ms=0.0 if at is not None and "left" not in opts else _figure(opts.get("left"), "left"),
-        hint_ms=_figure(opts["hint"], "hint") if "hint" in opts else None,
-        first_cell=_whole(extras.get("home"), "extras.home", 65535),
-        holders=_whole(extras.get("copies"), "extras.copies", 65535),
-        top=_whole(extras.get("top"), "extras.top", 255),
+        remaining_ms=0.0 if at is not None and "left" not in opts else _number(opts.get("left"), "left"),
+        length_hint_ms=_number(opts["hint"], "hint") if "hint" in opts else None,
+        first_cell=_integer(extras.get("home"), "extras.home", 65535),
+        holders=_integer(extras.get("copies"), "extras.copies", 65535),
+        top_rung=_integer(extras.get("top"), "extras.top", 255),
         viewer=int(viewer, 16),
         again=extras.get("again", "0") != "0",
         plays_at=None if at is None else node_number(at),
@@ -209,7 +214,7 @@
 def node_number(name: str) -> int:
     """A box's number out of its name, as `s-00c41f7a`. Raises ValueError."""
     if len(name) != 10 or not name.startswith("s-") or not _HEX.issuperset(name[2:]):
-        raise _Bad("box name")
+        raise _FieldError("box name")
     return int(name[2:], 16)
 
 
@@ -232,9 +237,9 @@
     return _line("FINISHED", tag, {})
 
 
-def echoed(tag: str, well: bool) -> bytes:
+def echoed(tag: str, list_received: bool) -> bytes:
     """Answer to a test."""
-    return _line("ECHOED", tag, {}, rc=1 if well else 0)
+    return _line("ECHOED", tag, {}, rc=1 if list_received else 0)
 
 
 def move(tag: str) -> bytes:
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -150,20 +150,20 @@
 def test_a_director_that_serves_does_not_sum_what_is_unsent(monkeypatch: pytest.MonkeyPatch) -> None:
     loop = asyncio.new_event_loop()
     summed = 0
-    owed = PlatformDirector._owed
+    owed = PlatformDirector._pending_work
 
     def counted(director: PlatformDirector) -> Any:
         nonlocal summed
         summed += 1
         return owed(director)
 
-    monkeypatch.setattr(PlatformDirector, "_owed", counted)
+    monkeypatch.setattr(PlatformDirector, "_pending_work", counted)
     try:
         director = PlatformDirector(settings.read(platform_world.config([])), "", loop)
         director._tick()
         assert summed == 0
         director.stop()
-        assert director._stop.state is StopState.STAYING
+        assert director._stop.state is StopState.DRAINING
         director._tick()
         assert summed == 1
     finally:
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -23,7 +23,7 @@
 from foxlift.logic import Director, _Pipe, _Session
 from foxlift.platform import events as ev
 from foxlift.platform.core import FAILED, REFUSED
-from foxlift.platform.settings import Address, Box, Told, read
+from foxlift.platform.settings import Address, ListedServer, ListUpdate, read
 from foxlift.standins.platform import finish_line, rtsp_answer, rtsp_request, start_line
 
 EVENTS = (fl.NodeList, fl.Ask, fl.Started, fl.Ended, fl.Note, fl.Resumed, fl.Withdrawn, fl.Wake)
@@ -102,10 +102,10 @@
         world.pass_time(100)
 
 
-def drain(world: World) -> tuple[Box, ...]:
+def drain(world: World) -> tuple[ListedServer, ...]:
     """Every box's line, draining."""
-    boxes = world.config.known[0].boxes
-    return tuple(Box(replace(box.info, status=fl.Status.DRAINING), box.address) for box in boxes)
+    boxes = world.config.known[0].servers
+    return tuple(ListedServer(replace(box.info, status=fl.Status.DRAINING), box.address) for box in boxes)
 
 
 def nothing_is_left(world: World) -> None:
@@ -114,8 +114,8 @@
         world.viewer(finish_line(session.tag))
     world.pass_time(10000)
     for conn in range(20):
-        world.tell(ev.ViewerGone(conn))
-    sizes = world.core.sizes()
+        world.tell(ev.ViewerDisconnected(conn))
+    sizes = world.core.table_sizes()
     del sizes["boxes"], sizes["module boxes"], sizes["ghosts"]
     assert not any(sizes.values()), sizes
     module = world.core.module
@@ -141,8 +141,11 @@
     for box, out, _ in world.leave():
         world.box(box, out, rtsp_answer(453, name(2), more="Link-State: x0:0.5\r\n"))
     world.box(node, conn, rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n"))
-    lines = [Box(box.info, Address("10.0.0.9", 1 + k)) for k, box in enumerate(world.config.known[0].boxes)]
-    world.tell(ev.Listed(Told(2, False, tuple(lines[:2]))))
+    lines = [
+        ListedServer(box.info, Address("10.0.0.9", 1 + k))
+        for k, box in enumerate(world.config.known[0].servers)
+    ]
+    world.tell(ev.ListUpdated(ListUpdate(2, False, tuple(lines[:2]))))
     world.viewer(at_line(name(3), node), 2)
     world.viewer(start_line(name(4), klass))
     world.viewer(finish_line(name(4)))
@@ -151,10 +154,10 @@
     world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5\r\n"))
     world.viewer(start_line(name(5), klass))
     leave_all(world)
-    world.tell(ev.Listed(Told(3, False, drain(world))))
+    world.tell(ev.ListUpdated(ListUpdate(3, False, drain(world))))
     world.viewer(start_line(name(7), klass))  # is held
     world.pass_time(100)
-    world.tell(ev.Listed(Told(4, False, world.config.known[0].boxes)))
+    world.tell(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
     world.viewer(start_line(name(6), klass))
     leave_all(world)
     assert not sick.left  # it was brought about
@@ -178,7 +181,7 @@
     module.sick, module.when = Sick(fl.Ended, times), when
     world.viewer(start_line(name(1), klass))
     [(node, conn, _)] = world.leave()
-    world.tell(ev.BoxConnectionLost(node, conn))  # reset under the request
+    world.tell(ev.ServerConnectionLost(node, conn))  # reset under the request
     assert answers(world, name(1)) == [("FINISH", cause)]
     assert not world.leave()
     if times == 1 or when == "placing":  # a module that cannot be told of ends for good keeps them
@@ -216,7 +219,7 @@
 def test_requests_that_are_held_are_answered_when_their_wake_raises_and_later_ones_wake() -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    world.tell(ev.Listed(Told(2, False, drain(world))))
+    world.tell(ev.ListUpdated(ListUpdate(2, False, drain(world))))
     module.sick = Sick(fl.Wake)
     for n in (1, 2):
         world.viewer(start_line(name(n), "paid"))
@@ -224,7 +227,7 @@
     world.pass_time(60)
     assert [answers(world, name(n)) for n in (1, 2)] == [[("FINISH", REFUSED)]] * 2
     world.viewer(start_line(name(3), "free"))
-    world.tell(ev.Listed(Told(3, False, world.config.known[0].boxes)))
+    world.tell(ev.ListUpdated(ListUpdate(3, False, world.config.known[0].servers)))
     world.pass_time(120)
     leave_all(world)
     assert answers(world, name(3)) == [("STARTED", None)]
@@ -234,12 +237,12 @@
 def test_one_line_of_a_list_that_raises_does_not_cost_the_others() -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    boxes = world.config.known[0].boxes
+    boxes = world.config.known[0].servers
     bad = boxes[1].info.node
     module.sick = lambda event: (
         isinstance(event, fl.NodeList) and any(line.node == bad for line in event.nodes)
     )
-    world.tell(ev.Listed(Told(2, True, boxes[1:])))
+    world.tell(ev.ListUpdated(ListUpdate(2, True, boxes[1:])))
     assert set(module.nodes) == {box.info.node for box in boxes[1:]}
     assert boxes[0].info.node not in module.nodes  # a whole list leaves out those that are gone
 
@@ -247,7 +250,7 @@
 def test_a_cached_list_that_raises_leaves_its_boxes_cold_all_the_same() -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    lines = tuple(box.info for box in world.config.known[0].boxes)
+    lines = tuple(box.info for box in world.config.known[0].servers)
     module.sick = Sick(fl.NodeList)
     world.core._driver.deliver(world.now, fl.NodeList(fl.ListKind.CACHED, lines[1:]))
     assert set(module.nodes) == {line.node for line in lines[1:]}
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -12,7 +12,7 @@
 from platform_world import config, member, settings
 
 from foxlift import interface as fl
-from foxlift.platform import feed, rtsp, viewers
+from foxlift.platform import discovery_watch, rtsp, viewers
 from foxlift.platform.settings import ConfigError, read
 from foxlift.standins.platform import finish_line, frame, record, rtsp_answer, rtsp_request, start_line
 
@@ -29,16 +29,16 @@
         + rtsp_answer(453, "0" * 16, more="Link-State: x0:0.9\r\n")
         + rtsp_request("TEARDOWN", TAG, "Reason: cause=16\r\n")
     )
-    whole = rtsp.Reader().feed(data)
-    assert [type(m).__name__ for m in whole] == ["Answer", "Answer", "Request", "Answer", "Request"]
-    assert whole[1] == rtsp.Answer(
+    whole = rtsp.MessageReader().feed(data)
+    assert [type(m).__name__ for m in whole] == ["Response", "Response", "Request", "Response", "Request"]
+    assert whole[1] == rtsp.Response(
         200, 1, TAG, {"cseq": "1", "session": TAG, "content-length": "24"}, b"v=0\r\nc=IN IP4 10.4.7.9\r\n"
     )
     for cut in range(1, len(data)):
-        reader = rtsp.Reader()
+        reader = rtsp.MessageReader()
         assert reader.feed(data[:cut]) + reader.feed(data[cut:]) == whole
         assert reader.pending == 0
-    reader = rtsp.Reader()
+    reader = rtsp.MessageReader()
     assert [m for byte in data for m in reader.feed(bytes([byte]))] == whole
 
 
@@ -65,29 +65,29 @@
     ],
 )
 def test_what_cannot_be_read_ends_the_connection(data: bytes) -> None:
-    reader = rtsp.Reader()
-    with pytest.raises(rtsp.Spoilt):
+    reader = rtsp.MessageReader()
+    with pytest.raises(rtsp.ProtocolError):
         reader.feed(data)
-    with pytest.raises(rtsp.Spoilt):  # nothing later on it counts, however good
+    with pytest.raises(rtsp.ProtocolError):  # nothing later on it counts, however good
         reader.feed(GOOD)
 
 
 def test_an_answer_whose_length_falls_short_is_not_given_out_before_the_damage() -> None:
     """Where the rest of a body follows, the answer before it is the damaged one."""
-    with pytest.raises(rtsp.Spoilt):
-        rtsp.Reader().feed(GOOD.replace(b"Content-Length: 24", b"Content-Length: 10"))
+    with pytest.raises(rtsp.ProtocolError):
+        rtsp.MessageReader().feed(GOOD.replace(b"Content-Length: 24", b"Content-Length: 10"))
 
 
 def test_an_answer_cut_anywhere_is_no_answer() -> None:
     for cut in range(len(GOOD)):
-        assert rtsp.Reader().feed(GOOD[:cut]) == []
+        assert rtsp.MessageReader().feed(GOOD[:cut]) == []
 
 
 @given(st.binary(max_size=600))
 def test_noise_raises_spoilt_and_nothing_else(data: bytes) -> None:
     for prefix in (b"", b"RTSP/1.0 200 OK\r\n", GOOD):
-        with contextlib.suppress(rtsp.Spoilt):
-            rtsp.Reader().feed(prefix + data)
+        with contextlib.suppress(rtsp.ProtocolError):
+            rtsp.MessageReader().feed(prefix + data)
 
 
 @given(st.data())
@@ -95,21 +95,21 @@
     at = data.draw(st.integers(0, len(GOOD) - 1))
     damaged = GOOD[:at] + bytes([data.draw(st.integers(0, 255))]) + GOOD[at + 1 :]
     try:
-        messages = rtsp.Reader().feed(damaged)
-    except rtsp.Spoilt:
+        messages = rtsp.MessageReader().feed(damaged)
+    except rtsp.ProtocolError:
         return
     for message in messages:
-        if isinstance(message, rtsp.Answer) and message.status == 200 and message.session == TAG:
+        if isinstance(message, rtsp.Response) and message.status == 200 and message.session == TAG:
             assert len(message.body) <= 24
 
 
 def test_what_is_sent_has_the_protocols_form() -> None:
-    data = rtsp.set_up(TAG, "7f3a9c21e0b4d655", "paid", 2, 1500, b"abc\r\n")
+    data = rtsp.setup(TAG, "7f3a9c21e0b4d655", "paid", 2, 1500, b"abc\r\n")
     assert data.startswith(b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\n")
     for line in (b"CSeq: 1", b"Session: " + TAG.encode(), b"Call-Kind: paid", b"Answer-Within: 1500"):
         assert b"\r\n" + line + b"\r\n" in data
     assert data.endswith(b"Content-Length: 5\r\n\r\nabc\r\n")
-    assert b"Reason" not in rtsp.give_up(TAG)
+    assert b"Reason" not in rtsp.cancel_setup(TAG)
     assert b"\r\nReason: cause=31\r\n" in rtsp.release(TAG, 31)
     assert rtsp.ping(TAG).startswith(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\n")
 
@@ -121,10 +121,10 @@
         + finish_line(TAG, 34)
         + b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % TAG.encode()
     )
-    whole = [viewers.read_line(line) for line in viewers.Reader().feed(data)]
+    whole = [viewers.read_line(line) for line in viewers.LineReader().feed(data)]
     assert [type(m).__name__ for m in whole] == ["Start", "Finish", "Echo"]
     for cut in range(1, len(data)):
-        reader = viewers.Reader()
+        reader = viewers.LineReader()
         lines = reader.feed(data[:cut]) + reader.feed(data[cut:])
         assert [viewers.read_line(line) for line in lines] == whole
         assert reader.pending == 0
@@ -134,7 +134,7 @@
     extras = "home:4;copies:3;top:2;viewer:00000000b4d65521;again:1;at:s-00c41f7a"
     found = viewers.read_line(start_line(TAG, "paid", opts={"left": 812.5, "extras": extras}))
     assert isinstance(found, viewers.Start)
-    assert (found.left_ms, found.hint_ms, found.first_cell, found.holders, found.top) == (
+    assert (found.remaining_ms, found.length_hint_ms, found.first_cell, found.holders, found.top_rung) == (
         812.5,
         8000.0,
         4,
@@ -167,7 +167,7 @@
     ],
 )
 def test_lines_that_are_no_message_end_the_connection(line: bytes) -> None:
-    with pytest.raises(viewers.Unreadable):
+    with pytest.raises(viewers.ProtocolError):
         viewers.read_line(line)
 
 
@@ -197,8 +197,8 @@
 )
 def test_figures_out_of_range_are_named(field: str, value: Any) -> None:
     found = viewers.read_line(start_line(TAG, opts={field: value}))
-    assert isinstance(found, viewers.Senseless) and found.tag == TAG
-    assert field in found.why or found.why == "box name"
+    assert isinstance(found, viewers.InvalidSetup) and found.tag == TAG
+    assert field in found.field_name or found.field_name == "box name"
 
 
 def test_a_key_said_twice_makes_one_message_of_the_last() -> None:
@@ -207,36 +207,40 @@
 
 
 def test_a_failed_test_is_told_from_one_that_was_passed() -> None:
-    [passed, failed, other] = rtsp.Reader().feed(
+    [passed, failed, other] = rtsp.MessageReader().feed(
         rtsp_answer(200, TAG, cseq=3) + rtsp_answer(503, TAG, cseq=3) + rtsp_answer(503, TAG)
     )
-    assert [rtsp.fails_test(m) for m in (passed, failed, other)] == [False, True, False]
+    assert [rtsp.is_failed_ping(m) for m in (passed, failed, other)] == [False, True, False]
 
 
 def test_a_set_up_without_time_or_description_is_senseless() -> None:
     message = json.loads(start_line(TAG))
     del message["opts"]["left"]
-    assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.Senseless)
+    assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.InvalidSetup)
     message = json.loads(start_line(TAG))
     del message["blob"]
-    assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.Senseless)
+    assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.InvalidSetup)
 
 
 def test_a_line_is_bounded_with_and_without_its_end() -> None:
-    for data in (b"x" * viewers.MAX_LINE, b"x" * viewers.MAX_LINE + b"\n", b"\n" + b"y" * 20000 + b"\n"):
-        with pytest.raises(viewers.Unreadable):
-            viewers.Reader().feed(data)
-    reader = viewers.Reader()
+    for data in (
+        b"x" * viewers.MAX_LINE_BYTES,
+        b"x" * viewers.MAX_LINE_BYTES + b"\n",
+        b"\n" + b"y" * 20000 + b"\n",
+    ):
+        with pytest.raises(viewers.ProtocolError):
+            viewers.LineReader().feed(data)
+    reader = viewers.LineReader()
     for _ in range(15):
         reader.feed(b"x" * 1024)
-    with pytest.raises(viewers.Unreadable):
+    with pytest.raises(viewers.ProtocolError):
         reader.feed(b"x" * 1024)
 
 
 @given(st.binary(max_size=400))
 def test_noise_from_viewers_raises_unreadable_and_nothing_else(data: bytes) -> None:
     for line in (data, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{' + data + b"}}"):
-        with contextlib.suppress(viewers.Unreadable):
+        with contextlib.suppress(viewers.ProtocolError):
             viewers.read_line(line)
 
 
@@ -255,14 +259,14 @@
 # ---- Coordinator ------------------------------------------------------------------------------------------
 def test_frames_at_every_split() -> None:
     data = frame(2, 1, record(7, "10.0.0.1:5060") + record(8, "10.0.0.2:5060", 1, 3, 1700)) + frame(2, 0)
-    whole = feed.Reader(2, 2, 4).feed(data)
-    told = whole[0].told
-    assert told is not None and told.whole and [box.info.node for box in told.boxes] == [7, 8]
-    assert told.boxes[1].info == fl.NodeInfo(8, 0, 0, 3, fl.Status.DRAINING, 1.0, 1700.0)
-    assert (told.boxes[1].address.host, told.boxes[1].address.port) == ("10.0.0.2", 5060)
-    assert whole[1] == feed.Frame(2, None)
+    whole = discovery_watch.FrameReader(2, 2, 4).feed(data)
+    told = whole[0].update
+    assert told is not None and told.full and [box.info.node for box in told.servers] == [7, 8]
+    assert told.servers[1].info == fl.NodeInfo(8, 0, 0, 3, fl.Status.DRAINING, 1.0, 1700.0)
+    assert (told.servers[1].address.host, told.servers[1].address.port) == ("10.0.0.2", 5060)
+    assert whole[1] == discovery_watch.Frame(2, None)
     for cut in range(1, len(data)):
-        reader = feed.Reader(2, 2, 4)
+        reader = discovery_watch.FrameReader(2, 2, 4)
         assert reader.feed(data[:cut]) + reader.feed(data[cut:]) == whole
 
 
@@ -279,14 +283,14 @@
     ],
 )
 def test_frames_that_make_no_sense(data: bytes) -> None:
-    with pytest.raises(feed.Unreadable):
-        feed.Reader(2, 2, 4).feed(data)
+    with pytest.raises(discovery_watch.ProtocolError):
+        discovery_watch.FrameReader(2, 2, 4).feed(data)
 
 
 @given(st.binary(max_size=200))
 def test_noise_on_the_feed_raises_unreadable_and_nothing_else(data: bytes) -> None:
-    with contextlib.suppress(feed.Unreadable):
-        feed.Reader(2, 2, 4).feed(data)
+    with contextlib.suppress(discovery_watch.ProtocolError):
+        discovery_watch.FrameReader(2, 2, 4).feed(data)
 
 
 # ---- Configuration ----------------------------------------------------------------------------------------
@@ -296,7 +300,7 @@
     assert [klass.repeat for klass in found.module.classes] == [fl.Repeat.ONCE, fl.Repeat.FREE]
     assert found.module.may_cancel and found.module.come_back and not found.module.may_probe
     assert found.class_names == {"paid": 0, "free": 1} and found.tenant_names == {"acme": 0}
-    assert found.known[0].whole and found.known[0].boxes[0].info.cell == 2
+    assert found.known[0].full and found.known[0].servers[0].info.cell == 2
     assert (found.known_number, found.sockets, found.columns) == (1, 256, frozenset({"x0"}))
 
 
--- a/tests/test_platform_core.py
+++ b/tests/test_platform_core.py
@@ -16,7 +16,7 @@
 from foxlift.platform import events as ev
 from foxlift.platform import rtsp, viewers
 from foxlift.platform.core import Core
-from foxlift.platform.settings import Address, Box, Told, read
+from foxlift.platform.settings import Address, ListedServer, ListUpdate, read
 from foxlift.standins.platform import finish_line, rtsp_answer, rtsp_request, start_line
 
 BOXES = {11: 0, 12: 1, 13: 2, 14: 3}  # id: cell
@@ -41,18 +41,18 @@
         self.wanted: list[tuple[int, int]] = []  # set-ups that wait for a connection
         self.next_conn = 100
         for told in self.config.known:
-            self.tell(ev.Listed(told))
+            self.tell(ev.ListUpdated(told))
 
     def tell(self, event: ev.Event) -> None:
         for action in self.core.handle(self.now, event):
             match action:
-                case ev.ToViewer(conn, data):
+                case ev.SendToViewer(conn, data):
                     self.sent.append((conn, json.loads(data)))
-                case ev.ToBox(node, conn, data):
+                case ev.SendToServer(node, conn, data):
                     self.boxed.append((node, conn, data))
-                case ev.SendSetUp(number, node):
+                case ev.QueueSetup(number, node):
                     self.wanted.append((number, node))
-                case ev.StopSetUp(number, node):
+                case ev.CancelSetup(number, node):
                     self.wanted = [w for w in self.wanted if w[0] != number]
                 case ev.StartTimer(delay, timer):
                     self.order += 1
@@ -64,7 +64,7 @@
         wanted, self.wanted = self.wanted, []
         for number, node in wanted:
             self.next_conn += 1
-            data = self.core.take(self.now, number, node, self.next_conn)
+            data = self.core.take_setup(self.now, number, node, self.next_conn)
             if data is not None:
                 left.append((node, self.next_conn, data))
         return left
@@ -80,11 +80,11 @@
     def viewer(self, line: bytes, conn: int = 1) -> None:
         message = viewers.read_line(line)
         assert message is not None
-        self.tell(ev.FromViewer(conn, message))
+        self.tell(ev.ViewerMessageReceived(conn, message))
 
     def box(self, node: int, conn: int, data: bytes) -> None:
-        for message in rtsp.Reader().feed(data):
-            self.tell(ev.FromBox(node, conn, message))
+        for message in rtsp.MessageReader().feed(data):
+            self.tell(ev.ServerMessageReceived(node, conn, message))
 
     def verbs(self, tag: str) -> list[str]:
         return [message["verb"] for _, message in self.sent if message["tag"] == tag]
@@ -126,7 +126,7 @@
     world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))  # told again elsewhere
     assert len(world.verbs(name(1))) == 2
     world.viewer(heard_line(name(1)))
-    sizes = world.core.sizes()
+    sizes = world.core.table_sizes()
     assert sizes.pop("boxes") == sizes.pop("module boxes") == 4 and not any(sizes.values())
 
 
@@ -209,7 +209,7 @@
         world = World()
         world.viewer(start_line(name(1), klass))
         [(node, conn, _)] = world.leave()
-        world.tell(ev.BoxConnectionLost(node, conn))
+        world.tell(ev.ServerConnectionLost(node, conn))
         again = world.leave()
         assert 1 + len(again) == attempts
         assert all(n != node for n, _, _ in again)
@@ -220,9 +220,9 @@
     world = World()
     world.viewer(start_line(name(1), "paid"))
     [(number, node)] = world.wanted
-    world.tell(ev.Unreached(number, 99))  # of another box: of an attempt that is over
-    world.tell(ev.Unreached(number, node))
-    world.tell(ev.Unreached(number, node))
+    world.tell(ev.SetupNotSent(number, 99))  # of another box: of an attempt that is over
+    world.tell(ev.SetupNotSent(number, node))
+    world.tell(ev.SetupNotSent(number, node))
     [(other, _, _)] = world.leave()
     assert other != node
     failed = [e for e in world.events if isinstance(e, fl.Ended)]
@@ -264,7 +264,7 @@
     world.viewer(start_line(name(1), "paid"))
     [(_number, node)] = world.wanted
     info = fl.NodeInfo(node, 0, 0, BOXES[node], fl.Status.DRAINING, 1.0, 0.0)
-    world.tell(ev.Listed(Told(2, False, (Box(info, Address(f"10.0.0.{node}", 5060)),))))
+    world.tell(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address(f"10.0.0.{node}", 5060)),))))
     assert node not in [n for _, n in world.wanted]
     [(other, _, _)] = world.leave()
     assert other != node and not world.sent
@@ -275,7 +275,7 @@
     world.viewer(start_line(name(1)))
     world.viewer(start_line(name(2)))
     left = world.leave()
-    world.tell(ev.ViewerGone(1))
+    world.tell(ev.ViewerDisconnected(1))
     assert [d.split(b" ")[0] for _, _, d in world.boxed] == [b"TEARDOWN", b"TEARDOWN"]
     for node, conn, _ in left:
         world.box(node, conn, rtsp_answer(200, name(1), b"late\r\n"))
@@ -318,10 +318,10 @@
     world.viewer(heard_line(name(1)), 5)
     world.viewer(heard_line(name(9)), 6)
     world.sent.clear()
-    world.tell(ev.ViewerGone(5))
+    world.tell(ev.ViewerDisconnected(5))
     assert world.sent == [(6, {"verb": "FINISH", "tag": name(2), "opts": {}, "rc": 16})]
     world.viewer(heard_line(name(2)), 6)
-    assert world.core.sizes()["releases"] == 0
+    assert world.core.table_sizes()["releases"] == 0
 
 
 def test_the_box_is_told_the_cause_for_which_a_viewer_ends_its_session() -> None:
@@ -335,7 +335,7 @@
     world = World()
     world.viewer(start_line(name(1)), 1)
     world.leave()
-    world.tell(ev.ViewerGone(1))
+    world.tell(ev.ViewerDisconnected(1))
     world.viewer(start_line(name(1)), 2)
     [(node, conn, _)] = world.leave()
     world.box(node, conn, rtsp_answer(200, name(1), b"there\r\n"))
@@ -359,7 +359,7 @@
     world = World()
     for k in range(4097):
         world.viewer(at_line(name(k), 0x77))
-    assert world.verbs(name(4096)) == ["FINISH"] and world.core.sizes()["handovers"] == 4096
+    assert world.verbs(name(4096)) == ["FINISH"] and world.core.table_sizes()["handovers"] == 4096
 
 
 def test_a_note_on_a_session_just_ended_is_passed_over() -> None:
@@ -398,7 +398,7 @@
     world = World()
     places = {name(k): world.stand(name(k))[0] for k in range(1, 9)}
     node = places[name(1)]
-    world.tell(ev.BoxLost(node, "silent"))
+    world.tell(ev.ServerLost(node, "silent"))
     gone = {tag for tag, at in places.items() if at == node}
     assert {m["tag"] for _, m in world.sent if m["verb"] == "FINISH"} == gone
     assert len(world.core.sessions) == 8 - len(gone)
@@ -409,7 +409,7 @@
     node, _ = world.stand(name(1))
     info = fl.NodeInfo(node, 0, 0, BOXES[node], fl.Status.READY, 1.0, world.now + 10)
     world.now += 500
-    world.tell(ev.Listed(Told(2, False, (Box(info, Address(f"10.0.0.{node}", 5060)),))))
+    world.tell(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address(f"10.0.0.{node}", 5060)),))))
     assert world.verbs(name(1)) == ["STARTED", "FINISH"]
 
 
@@ -418,9 +418,9 @@
     gone: list[int] = []
     info = fl.NodeInfo(99, 0, 0, 0, fl.Status.READY, 1.0, 0.0)
     for action in world.core.handle(
-        world.now, ev.Listed(Told(2, False, (Box(info, Address("10.0.0.11", 5060)),)))
+        world.now, ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address("10.0.0.11", 5060)),)))
     ):
-        if isinstance(action, ev.BoxGone):
+        if isinstance(action, ev.RemoveServer):
             gone.append(action.node)
     assert gone == [11]
 
@@ -440,7 +440,7 @@
     world.viewer(at_line(name(4), 78))  # never on it
     assert [e.ask.session for e in world.events if isinstance(e, fl.Resumed)] == [2]
     info = fl.NodeInfo(77, 0, 0, 1, fl.Status.READY, 1.0, 0.0)
-    world.tell(ev.Listed(Told(2, False, (Box(info, Address("10.0.0.77", 5060)),))))
+    world.tell(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address("10.0.0.77", 5060)),))))
     assert [e.node for e in world.events if isinstance(e, fl.Resumed)] == [12, 77]
     world.pass_time(4000)
     assert world.verbs(name(4)) == ["FINISH"]  # what nobody can follow is over, and its viewer hears so
@@ -453,7 +453,7 @@
     world = World()
     echo = b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % name(1).encode()
     world.viewer(echo)
-    world.core.listed = False
+    world.core.list_received = False
     world.viewer(echo)
     assert [m["rc"] for _, m in world.sent] == [1, 0]
 
@@ -470,7 +470,7 @@
     world = World()
     message = viewers.read_line(start_line(name(1), "paid"))
     assert message is not None
-    world.tell(ev.FromViewer(1, message, waited_ms=300.0))
+    world.tell(ev.ViewerMessageReceived(1, message, waited_ms=300.0))
     [(_, _, data)] = world.leave()
     assert b"Answer-Within: 700\r\n" in data
 
@@ -500,13 +500,13 @@
             elif way < 0.85:
                 world.box(node, conn, rtsp_answer(500, tag))
             elif way < 0.9:
-                world.tell(ev.BoxConnectionLost(node, conn))
+                world.tell(ev.ServerConnectionLost(node, conn))
             elif way < 0.95:
                 world.viewer(finish_line(tag), k)
         for conn, message in world.sent:
             if message["verb"] == "FINISH":
                 world.viewer(heard_line(message["tag"]), conn)
-        world.tell(ev.ViewerGone(k))
+        world.tell(ev.ViewerDisconnected(k))
         while len(live) > 40:
             tag, node, conn = live.pop(chance.randrange(len(live)))
             if chance.random() < 0.9:
@@ -525,12 +525,16 @@
             else:
                 addresses[new] = Address(f"10.9.{k % 251}.{k // 500}", 5060)
             address = addresses[new]
-            world.tell(ev.Listed(Told(number, False, (Box(gone, address), Box(fresh, address)))))
+            world.tell(
+                ev.ListUpdated(
+                    ListUpdate(number, False, (ListedServer(gone, address), ListedServer(fresh, address)))
+                )
+            )
             for tag, node, conn in [entry for entry in live if entry[1] == old]:
                 world.box(node, conn, rtsp_request("TEARDOWN", tag, "Reason: cause=41\r\n"))
             live = [entry for entry in live if entry[1] != old]
             world.pass_time(2000)
-        sizes = world.core.sizes()
+        sizes = world.core.table_sizes()
         most = max(most, *(size for table, size in sizes.items()))
     assert most < 400
     world.pass_time(5000)
@@ -541,10 +545,10 @@
     )  # no viewer is there to hear of the last ends: they are kept as long as they are owed
     world.viewer(start_line(name(0)))
     world.viewer(finish_line(name(0)))
-    sizes = world.core.sizes()
+    sizes = world.core.table_sizes()
     assert sizes.pop("boxes") == sizes.pop("module boxes") == 4
     assert not any(sizes.values()), sizes
-    assert not world.core._standing and not world.core.module.held and not world.core.module.seats
+    assert not world.core._playing and not world.core.module.held and not world.core.module.seats
 
 
 def test_boxes_of_the_configuration_s_list_are_as_warm_as_it_says() -> None:
@@ -552,12 +556,12 @@
     for started, expected in ((0.0, 6), (999_000.0, 1)):
         world = World(invariants__ramp_time_ms=12000.0)
         boxes = tuple(
-            Box(replace(box.info, started_ms=started, status=status), box.address)
+            ListedServer(replace(box.info, started_ms=started, status=status), box.address)
             for box, status in zip(
-                world.config.known[0].boxes, [fl.Status.READY] + [fl.Status.GONE] * 3, strict=True
+                world.config.known[0].servers, [fl.Status.READY] + [fl.Status.GONE] * 3, strict=True
             )
         )
-        world.tell(ev.Listed(Told(2, False, boxes)))
+        world.tell(ev.ListUpdated(ListUpdate(2, False, boxes)))
         for k in range(6):
             world.viewer(start_line(name(k)))
         assert len(world.leave()) == expected
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -80,7 +80,7 @@
 
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A stop need not wait for requests that are still on their way: those of a test are not."""
-    monkeypatch.setattr(stop, "STAY_SLACK_MS", -stop.ARRIVE_MS)
+    monkeypatch.setattr(stop, "ARRIVAL_SLACK_MS", -stop.ARRIVAL_WINDOW_MS)
 
 
 # ---- Stop -------------------------------------------------------------------------------------------------
@@ -116,7 +116,7 @@
             deaf.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
             world.director.stop()
             world.director._tick()
-            for _ in range(4 * stop.LOOKS):  # turns of the loop, enough for an end
+            for _ in range(4 * stop.MIN_QUIET_CHECKS):  # turns of the loop, enough for an end
                 await asyncio.sleep(0)
             assert unsent(world) and not world.director.ended.done()
             deaf.reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -143,13 +143,13 @@
             viewer.send(start_line(name(1), klass, opts={"left": "60000"}))
             await box.until(lambda: "SETUP" in box.methods(name(1)))
             world.director.stop()
-            world.director._stop._since -= world.director._stop.killed_after_ms - stop.LAST_ANSWERS_MS
+            world.director._stop._stop_at -= world.director._stop.killed_after_ms - stop.FINAL_ANSWERS_MS
             world.director._tick()
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", cause)
             await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
             await world.director.ended
-            assert not world.director.core.sizes()["attempts"]
+            assert not world.director.core.table_sizes()["attempts"]
 
     play(test)
 
@@ -254,7 +254,7 @@
     """A viewer that does not read, with so much unsent that it would not be read from."""
     echo = await deafen(world, deaf)
     [connection] = held(world)
-    while not connection._full:
+    while not connection._write_blocked:
         await asks_more(world, deaf, echo * 4)
 
 
@@ -400,7 +400,7 @@
                 with socket.socket(fileno=os.dup(deaf.writer.get_extra_info("socket").fileno())) as far:
                     far.shutdown(socket.SHUT_WR)
             [opening] = held(world)
-            while world.director.core.open_on(opening.number):
+            while world.director.core.open_requests(opening.number):
                 await asyncio.sleep(0)
             counts = world.director.core.counts  # it was heard, and not answered or shut in the end
             assert counts["given up"] + counts["left with its connection"] == 1
@@ -519,7 +519,7 @@
             # gone and back in one read, before its line is dropped: its session keeps that
             world.feed.tell(2, 2, record(1, world.boxes[0].address, state=2))
             world.feed.tell(3, 2, record(1, other.address))
-            while world.director.discovery.feed.number < 3:
+            while world.director.discovery.watch.number < 3:
                 await asyncio.sleep(0)
             viewer.send(finish_line(name(1)))
             for k in (2, 3):
--- a/tests/test_platform_departures.py
+++ b/tests/test_platform_departures.py
@@ -292,7 +292,7 @@
     await shared_connection(world)
     client, other = Leaver(world), await world.viewer()
     core = world.director.core
-    take, taken = core.take, 0
+    take, taken = core.take_setup, 0
 
     def slow_take(now: float, number: int, node: int, conn: int) -> bytes | None:
         nonlocal taken
@@ -307,7 +307,7 @@
     def backlog() -> None:
         push(other, b"".join(start_line(name(100 + k), "paid", opts=HELD) for k in range(MANY)))
         client.send(ASKED)
-        core.take = slow_take  # type: ignore[method-assign]
+        core.take_setup = slow_take  # type: ignore[method-assign]
 
     await while_standing_still(world, backlog)
     while taken < MANY:
@@ -342,7 +342,7 @@
     client.send(ASKED)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
-    while not connection._full:
+    while not connection._write_blocked:
         client.send(ECHO * 20)
         await asyncio.sleep(0)
 
@@ -362,7 +362,7 @@
     client.send(ECHO * 200 + ASKED)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
-    assert connection._full
+    assert connection._write_blocked
 
     def meanwhile() -> None:
         departure.take_place(client)
@@ -441,7 +441,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str
 ) -> None:
     """Nothing tells when the server reads again, and by then its client may have left for long."""
-    monkeypatch.setattr(server_pool, "PING_AFTER_MS", 60_000.0)  # else the connection would be given up
+    monkeypatch.setattr(server_pool, "PING_IDLE_MS", 60_000.0)  # else the connection would be given up
 
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__max_streams=8) as world:
@@ -459,7 +459,7 @@
             client.send(ASKED)
             while director.core.counts["asked"] < 2:
                 await asyncio.sleep(0)
-            while (asked := director.core._by_tag.get(name(1))) is not None and not asked.box_conn:
+            while (asked := director.core._by_tag.get(name(1))) is not None and not asked.server_conn:
                 await asyncio.sleep(0)
 
             def meanwhile() -> None:
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -21,7 +21,12 @@
 from foxlift.platform import server_pool
 from foxlift.platform.admission import MAX_OVERSHOOT
 from foxlift.platform.descriptors import MAX_CLOSING, OWN_DESCRIPTORS, SERVER_MARGIN, share_out
-from foxlift.platform.eviction import MIN_LISTENING_MS, ClosingConnections, ConnectionKey, least_needed
+from foxlift.platform.eviction import (
+    MIN_LISTENING_MS,
+    ClosingConnections,
+    ConnectionKey,
+    select_connection_to_close,
+)
 from foxlift.standins.platform import StandInBox, StandInCoordinator, Viewer, record, start_line
 
 ROOT = Path(__file__).parent.parent
@@ -213,7 +218,7 @@
     made = server_pool.ServerPool(1000.0, 30000.0, 4, 1)
     for key in range(connections):
         made.handle(now, server_pool.SetupQueued(key))
-    for event in (server_pool.ConnectionOpened, server_pool.SlotReleased):
+    for event in (server_pool.ConnectionOpened, server_pool.SetupFinished):
         for conn in list(made.connections):
             made.handle(now, event(conn))
     if standing:
@@ -226,7 +231,7 @@
     in_use.handle(0.0, server_pool.SetupQueued(9))
     servers = {1: in_use, 2: line(0.0, standing=1), 3: line(500.0), 4: line(200.0, standing=2, connections=2)}
     order = []
-    while (least := least_needed(1100.0, servers, MIN_LISTENING_MS)) is not None:
+    while (least := select_connection_to_close(1100.0, servers, MIN_LISTENING_MS)) is not None:
         order.append((least.node, least.conn))
         assert servers[least.node].handle(1100.0, server_pool.ConnectionYielded(least.conn)) == [
             server_pool.CloseConnection(least.conn)
@@ -234,19 +239,19 @@
     # idle ones by their age, then what sessions are heard on; one heard on for under a second stays
     assert [node for node, _ in order] == [4, 3, 2]
     last = ConnectionKey(4, next(iter(servers[4].connections)))
-    assert least_needed(1100.0, servers, 0.0) == last  # but not where a set-up waits
-    assert least_needed(1300.0, servers, MIN_LISTENING_MS) == last
+    assert select_connection_to_close(1100.0, servers, 0.0) == last  # but not where a set-up waits
+    assert select_connection_to_close(1300.0, servers, MIN_LISTENING_MS) == last
 
 
 def test_a_server_that_gave_up_its_connection_asks_again_after_a_wait() -> None:
     server = line(0.0, standing=1)
     server.handle(2000.0, server_pool.ConnectionYielded(1))
-    assert server.handle(2000.0 + server_pool.REOPEN_MS / 2, server_pool.Tick()) == []
-    [again] = server.handle(2000.0 + server_pool.REOPEN_MS, server_pool.Tick())
+    assert server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS / 2, server_pool.Tick()) == []
+    [again] = server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS, server_pool.Tick())
     assert isinstance(again, server_pool.OpenConnection)
     # no descriptor now either: asked for again after the same wait, and its sessions are not lost by that
     assert server.handle(2300.0, server_pool.ConnectionLost(again.conn)) == []
-    [once_more] = server.handle(2300.0 + server_pool.REOPEN_MS, server_pool.Tick())
+    [once_more] = server.handle(2300.0 + server_pool.REOPEN_INTERVAL_MS, server_pool.Tick())
     assert isinstance(once_more, server_pool.OpenConnection)
 
 
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -10,11 +10,11 @@
 from foxlift import interface as fl
 from foxlift.decide.driver import Driver
 from foxlift.logic import Director
-from foxlift.platform import admission, descriptors, feed, releases, server_pool, stop
+from foxlift.platform import admission, descriptors, discovery_watch, server_pool, stop, viewer_releases
 from foxlift.platform.admission import ConnectionAdmission
 from foxlift.platform.loop_lag import EventLoopLag
-from foxlift.platform.releases import Releases, Write
 from foxlift.platform.settings import Address, read
+from foxlift.platform.viewer_releases import ViewerReleases, Write
 from foxlift.standins.platform import frame, record
 
 HERE, THERE = Address("10.0.0.1", 1), Address("10.0.0.2", 2)
@@ -39,7 +39,7 @@
         server_pool.UseConnection(1, 3)
     ]  # no room for more: shared
     for conn in (1, 1, 2):
-        box.handle(3, server_pool.SlotReleased(conn))
+        box.handle(3, server_pool.SetupFinished(conn))
     assert kinds(box.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]  # idle ones are used again
 
 
@@ -47,11 +47,11 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.SetupQueued(2))
-    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreached(1)]
+    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupNotSent(1)]
     assert box.handle(249, server_pool.Tick()) == []
     assert box.handle(250, server_pool.Tick()) == [
         server_pool.CloseConnection(2),
-        server_pool.SetupUnreached(2),
+        server_pool.SetupNotSent(2),
     ]
     assert box.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
 
@@ -67,12 +67,12 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
-    assert box.handle(server_pool.PING_AFTER_MS - 1, server_pool.Tick()) == []
-    assert box.handle(server_pool.PING_AFTER_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
-    assert kinds(box.handle(server_pool.PING_AFTER_MS + 1, server_pool.SetupQueued(2))) == [
+    assert box.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
+    assert box.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    assert kinds(box.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
         "OpenConnection"
     ]  # perhaps dead: not used
-    after = server_pool.PING_AFTER_MS + server_pool.PONG_WITHIN_MS
+    after = server_pool.PING_IDLE_MS + server_pool.PING_TIMEOUT_MS
     assert server_pool.CloseConnection(1) in box.handle(after, server_pool.Tick())
 
 
@@ -90,7 +90,7 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
+    box.handle(5, server_pool.SetupFinished(1))
     assert box.handle(5, server_pool.SessionsChanged(1)) == []
     assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
     assert box.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
@@ -106,7 +106,7 @@
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(0, server_pool.SessionsChanged(1))
     box.handle(1, server_pool.SetupQueued(2))
-    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreached(2)]
+    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupNotSent(2)]
 
 
 def test_silence_ends_what_played_there_within_the_time_owed() -> None:
@@ -127,7 +127,7 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
+    box.handle(5, server_pool.SetupFinished(1))
     box.handle(5, server_pool.SessionsChanged(1))
     box.handle(6, server_pool.ServerRemoved())
     assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
@@ -143,7 +143,7 @@
         box.handle(0, server_pool.ConnectionOpened(k))
     for k in (1, 2, 3):
         box.handle(1, server_pool.DataReceived(k))
-        box.handle(1, server_pool.SlotReleased(k))
+        box.handle(1, server_pool.SetupFinished(k))
     box.handle(1, server_pool.SessionsChanged(3))
     assert kinds(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
     box.handle(1001, server_pool.DataReceived(3))
@@ -159,7 +159,7 @@
     for k in range(1, 6):
         box.handle(0, server_pool.ConnectionOpened(k))
     for k in range(1, 6):
-        box.handle(1, server_pool.SlotReleased(k))
+        box.handle(1, server_pool.SetupFinished(k))
     assert box.handle(17000, server_pool.Tick()) == []
     assert kinds(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
     assert not box.connections
@@ -180,7 +180,7 @@
             assert isinstance(action, server_pool.PingConnection)  # and never given up or opened anew
             used, tests = now, tests + 1
             box.handle(now + 1, server_pool.DataReceived(1))
-    assert tests <= 20_000 / min(idle_ms * server_pool.IDLE_RATIO, server_pool.PING_AFTER_MS)
+    assert tests <= 20_000 / min(idle_ms * server_pool.MAX_IDLE_RATIO, server_pool.PING_IDLE_MS)
 
 
 @given(st.lists(st.tuples(st.sampled_from("wurfdhstgk"), st.integers(1, 6)), max_size=120))
@@ -200,7 +200,7 @@
                 case server_pool.UseConnection(conn, k):
                     assert conn in up
                     wants.remove(k)
-                case server_pool.SetupUnreached(k):
+                case server_pool.SetupNotSent(k):
                     wants.remove(k)
                 case server_pool.CloseConnection(conn) | server_pool.RetireConnection(conn):
                     up.discard(conn)
@@ -225,7 +225,7 @@
                 opening.discard(conn)
                 look(box.handle(now, server_pool.ConnectionLost(conn, refused=True)))
             case "f" if up:
-                look(box.handle(now, server_pool.SlotReleased(max(up))))
+                look(box.handle(now, server_pool.SetupFinished(max(up))))
             case "d" if up:
                 conn = min(up)
                 up.discard(conn)
@@ -254,24 +254,24 @@
 
 
 # ---- Feed -------------------------------------------------------------------------------------------------
-def heard(*data: bytes) -> feed.Heard:
-    return feed.Heard(tuple(feed.Reader(2, 2, 4).feed(b"".join(data))))
+def heard(*data: bytes) -> discovery_watch.FramesReceived:
+    return discovery_watch.FramesReceived(tuple(discovery_watch.FrameReader(2, 2, 4).feed(b"".join(data))))
 
 
-def opened(number: int = 1) -> feed.Feed:
-    made = feed.Feed(HERE, number, 5)
-    assert made.start()[0] == feed.Connect(HERE)
-    ask = made.handle(0, feed.Opened())[0]
-    assert ask == feed.Ask(number.to_bytes(8, "big"))
+def opened(number: int = 1) -> discovery_watch.DiscoveryWatch:
+    made = discovery_watch.DiscoveryWatch(HERE, number, 5)
+    assert made.start()[0] == discovery_watch.OpenConnection(HERE)
+    ask = made.handle(0, discovery_watch.ConnectionOpened())[0]
+    assert ask == discovery_watch.RequestUpdates(number.to_bytes(8, "big"))
     return made
 
 
-def told(actions: list[feed.Action]) -> list[int]:
-    return [action.told.number for action in actions if isinstance(action, feed.Tell)]
+def told(actions: list[discovery_watch.Action]) -> list[int]:
+    return [action.update.number for action in actions if isinstance(action, discovery_watch.DeliverUpdate)]
 
 
-def later(actions: list[feed.Action]) -> feed.Later:
-    return [action for action in actions if isinstance(action, feed.Later)][-1]
+def later(actions: list[discovery_watch.Action]) -> discovery_watch.StartTimer:
+    return [action for action in actions if isinstance(action, discovery_watch.StartTimer)][-1]
 
 
 def test_events_are_told_once_and_in_order() -> None:
@@ -286,77 +286,85 @@
 def test_a_gap_is_asked_for_again_from_the_last_event_held() -> None:
     made = opened()
     actions = made.handle(1, heard(frame(3, 2, record(7, "10.0.0.7:5060"))))
-    assert told(actions) == [] and feed.Drop() in actions and made.number == 1
-    [connect, _] = made.handle(30, feed.Due(later(actions).turn))
-    assert connect == feed.Connect(HERE)
-    assert made.handle(31, feed.Opened())[0] == feed.Ask((1).to_bytes(8, "big"))
+    assert told(actions) == [] and discovery_watch.CloseConnection() in actions and made.number == 1
+    [connect, _] = made.handle(30, discovery_watch.TimerExpired(later(actions).timer_id))
+    assert connect == discovery_watch.OpenConnection(HERE)
+    assert made.handle(31, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+        (1).to_bytes(8, "big")
+    )
 
 
 def test_gaps_that_do_not_close_bring_the_whole_list_for_once() -> None:
     made = opened()
     now = 0.0
-    for _ in range(feed.WHOLE_AFTER):
+    for _ in range(discovery_watch.MAX_MISREADS):
         actions = made.handle(now, heard(frame(5, 2, record(7, "10.0.0.7:5060"))))
         now += 600
-        made.handle(now, feed.Due(later(actions).turn))
-        ask = made.handle(now, feed.Opened())[0]
-    assert ask == feed.Ask(bytes(8))
+        made.handle(now, discovery_watch.TimerExpired(later(actions).timer_id))
+        ask = made.handle(now, discovery_watch.ConnectionOpened())[0]
+    assert ask == discovery_watch.RequestUpdates(bytes(8))
     assert told(made.handle(now, heard(frame(1, 1, record(7, "10.0.0.7:5060"))))) == [1]
 
 
 def test_silence_is_noticed_well_inside_the_time_in_which_events_count_as_told() -> None:
     made = opened()
-    timer = feed.Later(feed.SILENT_MS, made._turn)
+    timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, made._timer_id)
     now = 0.0
     for _ in range(5):  # empty frames keep it alive
         now += 1000
         made.handle(now, heard(frame(1, 0)))
         while timer.delay_ms <= now:
-            again = made.handle(timer.delay_ms, feed.Due(timer.turn))
-            timer = feed.Later(timer.delay_ms + later(again).delay_ms, later(again).turn)
-    actions = made.handle(timer.delay_ms, feed.Due(timer.turn))
-    if feed.Drop() not in actions:
-        timer = feed.Later(timer.delay_ms + later(actions).delay_ms, later(actions).turn)
-        actions = made.handle(timer.delay_ms, feed.Due(timer.turn))
-    assert feed.Drop() in actions and timer.delay_ms - now <= 2000
+            again = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+            timer = discovery_watch.StartTimer(timer.delay_ms + later(again).delay_ms, later(again).timer_id)
+    actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+    if discovery_watch.CloseConnection() not in actions:
+        timer = discovery_watch.StartTimer(timer.delay_ms + later(actions).delay_ms, later(actions).timer_id)
+        actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+    assert discovery_watch.CloseConnection() in actions and timer.delay_ms - now <= 2000
 
 
 def test_waits_grow_are_bounded_and_differ_between_directors() -> None:
     waits = []
     for seed in (1, 2):
-        made = feed.Feed(HERE, 1, seed)
+        made = discovery_watch.DiscoveryWatch(HERE, 1, seed)
         made.start()
         mine = []
         for _ in range(12):
-            actions = made.handle(0, feed.Closed())
+            actions = made.handle(0, discovery_watch.ConnectionClosed())
             mine.append(later(actions).delay_ms)
-            made.handle(0, feed.Due(later(actions).turn))
-        assert max(mine) <= feed.LONGEST_WAIT_MS * 1.25 and mine[0] < 30
+            made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
+        assert max(mine) <= discovery_watch.MAX_BACKOFF_MS * 1.25 and mine[0] < 30
         waits.append(mine)
     assert waits[0] != waits[1]
 
 
 def test_a_connection_that_never_comes_up_is_given_up() -> None:
-    made = feed.Feed(HERE, 1, 1)
+    made = discovery_watch.DiscoveryWatch(HERE, 1, 1)
     timer = later(made.start())
-    assert feed.Drop() in made.handle(feed.OPEN_MS, feed.Due(timer.turn))
-    assert made.handle(800, feed.Opened()) == []  # of the one that was dropped
+    assert discovery_watch.CloseConnection() in made.handle(
+        discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(timer.timer_id)
+    )
+    assert made.handle(800, discovery_watch.ConnectionOpened()) == []  # of the one that was dropped
 
 
 def test_a_new_address_is_gone_to_at_once_and_twice_running() -> None:
     made = opened(4)
-    assert made.handle(1, feed.Moved(HERE)) == []
+    assert made.handle(1, discovery_watch.AddressChanged(HERE)) == []
     for address in (THERE, HERE):
-        actions = made.handle(1, feed.Moved(address))
-        assert actions[:2] == [feed.Drop(), feed.Connect(address)]
-    assert made.handle(2, feed.Opened())[0] == feed.Ask((4).to_bytes(8, "big"))
-    assert made.handle(feed.OPEN_MS, feed.Due(1)) == []  # a timer of the old connection
+        actions = made.handle(1, discovery_watch.AddressChanged(address))
+        assert actions[:2] == [discovery_watch.CloseConnection(), discovery_watch.OpenConnection(address)]
+    assert made.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+        (4).to_bytes(8, "big")
+    )
+    assert (
+        made.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
+    )  # a timer of the old connection
 
 
 def test_an_unreadable_feed_is_asked_again() -> None:
     made = opened()
-    assert feed.Drop() in made.misread()
-    assert made.misread() == []
+    assert discovery_watch.CloseConnection() in made.resynchronize()
+    assert made.resynchronize() == []
 
 
 # ---- Connection admission and the stop --------------------------------------------------------------------
@@ -421,11 +429,11 @@
 DEADLINES = (1500.0, 60_000.0)  # the longest counts as 3 s
 
 
-def looked(at: stop.Stop, now: float, *owed: int) -> list[stop.Step]:
+def looked(at: stop.GracefulStop, now: float, *owed: int) -> list[stop.Step]:
     """The looks one after another, up to one that waits or ends."""
-    steps = [at.look(now, stop.Owed(*owed))]
-    while steps[-1] is stop.Step.LOOK:
-        steps.append(at.look(now, stop.Owed(*owed)))
+    steps = [at.check(now, stop.PendingWork(*owed))]
+    while steps[-1] is stop.Step.CHECK:
+        steps.append(at.check(now, stop.PendingWork(*owed)))
     return steps
 
 
@@ -433,27 +441,29 @@
     ("waited", "unanswered", "ends"), [(600, 0, False), (949, 0, False), (950, 1, False), (950, 0, True)]
 )
 def test_a_stop_waits_for_late_requests_and_for_answers(waited: float, unanswered: int, ends: bool) -> None:
-    at = stop.Stop(DEADLINES)
-    assert at.told(1000)
+    at = stop.GracefulStop(DEADLINES)
+    assert at.begin(1000)
     assert (looked(at, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
-    assert not at.told(1000 + waited)  # told twice is told once
+    assert not at.begin(1000 + waited)  # told twice is told once
 
 
 def test_a_stop_looks_at_the_sockets_again_and_stays_for_what_it_finds() -> None:
-    at = stop.Stop(DEADLINES)
-    at.told(0)
-    assert at.look(1000, stop.Owed(0, 0, 7)) is stop.Step.LOOK
+    at = stop.GracefulStop(DEADLINES)
+    at.begin(0)
+    assert at.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
     for heard in (8, 9, 10, 11, 12, 13):  # something comes at each look
-        assert at.look(1000, stop.Owed(0, 0, heard)) is stop.Step.LOOK
-    assert at.look(1001, stop.Owed(1, 0, 14)) is stop.Step.WAIT  # and one of them was a request
-    assert at.state is stop.State.STAYING
+        assert at.check(1000, stop.PendingWork(0, 0, heard)) is stop.Step.CHECK
+    assert at.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT  # and one of them was a request
+    assert at.state is stop.State.DRAINING
     steps = looked(at, 1100, 0, 0, 15)
-    assert steps == [stop.Step.LOOK] * stop.LOOKS + [stop.Step.END]  # the first has news of a read
+    assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [
+        stop.Step.END
+    ]  # the first has news of a read
 
 
 def test_a_stop_waits_for_what_is_written_to_be_taken_and_never_past_the_kill() -> None:
-    at = stop.Stop(DEADLINES)
-    at.told(0)
+    at = stop.GracefulStop(DEADLINES)
+    at.begin(0)
     assert at.killed_after_ms == 3700
     assert looked(at, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
     assert looked(at, 3500, 2, 90, 7) == [stop.Step.ANSWER]
@@ -465,15 +475,15 @@
 def test_a_stop_ends_before_the_kill_whatever_the_settings_deadlines_and_whatever_comes(
     deadline: float,
 ) -> None:
-    at = stop.Stop([deadline, 50.0])
-    at.told(0)
+    at = stop.GracefulStop([deadline, 50.0])
+    at.begin(0)
     now, heard = 0.0, 0
     while at.state is not stop.State.ENDED:
         now, heard = now + 100, heard + 1  # a flood that never ends and a viewer that never reads
         unanswered = 1
-        while (step := at.look(now, stop.Owed(unanswered, 70_000, heard))) in (
+        while (step := at.check(now, stop.PendingWork(unanswered, 70_000, heard))) in (
             stop.Step.ANSWER,
-            stop.Step.LOOK,
+            stop.Step.CHECK,
         ):
             unanswered = 0
     assert min(deadline, 3000) + 500 <= now < min(deadline, 3000) + 700
@@ -510,8 +520,8 @@
         box.handle(0, server_pool.SetupQueued(key))
     assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
     assert box.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
-    assert box.handle(3, server_pool.SetupQueued(5)) == [] and box.out == 2
-    assert box.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
+    assert box.handle(3, server_pool.SetupQueued(5)) == [] and box.in_flight == 2
+    assert box.handle(4, server_pool.SetupFinished(1)) == [server_pool.UseConnection(1, 2)]
     assert [key for key, _ in box.waiting] == [3, 5]
 
 
@@ -521,56 +531,61 @@
     for _ in range(12):
         actions = made.handle(0, heard(frame(9, 2, record(7, "10.0.0.7:5060"))))
         waits.append(later(actions).delay_ms)
-        made.handle(0, feed.Due(later(actions).turn))
-        made.handle(0, feed.Opened())
-    assert waits[-1] > 0.7 * feed.LONGEST_WAIT_MS
+        made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
+        made.handle(0, discovery_watch.ConnectionOpened())
+    assert waits[-1] > 0.7 * discovery_watch.MAX_BACKOFF_MS
 
 
 # ---- Releases ---------------------------------------------------------------------------------------------
 def test_a_release_goes_to_its_own_connection_else_to_a_served_one_else_it_waits() -> None:
-    owed = Releases()
-    assert owed.over(0, 1, "a", b"A") == []  # nobody is there
-    assert owed.asked(10, 2) == [Write(2, b"A")]
-    assert owed.over(20, 3, "b", b"B") == [Write(2, b"B")]
-    owed.asked(30, 4)
-    owed.served(30, 2)
-    assert owed.over(40, 9, "c", b"C") == [Write(2, b"C")]  # 4 has only asked
-    owed.asked(50, 5)
-    assert owed.over(50, 5, "d", b"D") == [Write(5, b"D")]
+    owed = ViewerReleases()
+    assert owed.add(0, 1, "a", b"A") == []  # nobody is there
+    assert owed.session_requested(10, 2) == [Write(2, b"A")]
+    assert owed.add(20, 3, "b", b"B") == [Write(2, b"B")]
+    owed.session_requested(30, 4)
+    owed.session_started(30, 2)
+    assert owed.add(40, 9, "c", b"C") == [Write(2, b"C")]  # 4 has only asked
+    owed.session_requested(50, 5)
+    assert owed.add(50, 5, "d", b"D") == [Write(5, b"D")]
 
 
 def test_what_was_not_confirmed_when_its_connection_ended_is_written_again() -> None:
-    owed = Releases()
+    owed = ViewerReleases()
     for conn in (1, 2):
-        owed.served(0, conn)
+        owed.session_started(0, conn)
     for tag in "abc":
-        owed.over(1, 1, tag, tag.encode())
+        owed.add(1, 1, tag, tag.encode())
     owed.confirmed(1, "b")
     owed.confirmed(2, "a")  # another's word does not count
-    assert owed.gone(2, 1) == [Write(2, b"a"), Write(2, b"c")]
-    assert owed.gone(3, 2) == [] and len(owed) == 2  # kept for who comes next
-    assert owed.asked(4, 3) == [Write(3, b"a"), Write(3, b"c")]
+    assert owed.connection_closed(2, 1) == [Write(2, b"a"), Write(2, b"c")]
+    assert owed.connection_closed(3, 2) == [] and len(owed) == 2  # kept for who comes next
+    assert owed.session_requested(4, 3) == [Write(3, b"a"), Write(3, b"c")]
     for tag in "ac":
         owed.confirmed(3, tag)
     assert len(owed) == 0
 
 
 def test_releases_are_kept_no_longer_than_they_are_owed_and_no_more_than_there_is_room_for() -> None:
-    owed = Releases()
-    owed.over(0, 1, "old", b"old")
-    owed.over(releases.OWED_MS, 1, "new", b"new")
+    owed = ViewerReleases()
+    owed.add(0, 1, "old", b"old")
+    owed.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
     assert len(owed) == 2
-    assert owed.asked(releases.OWED_MS + 1, 2) == [Write(2, b"new")] and owed.expired == 1
-    assert owed.gone(2 * releases.OWED_MS + 1, 2) == []  # moving on does not make it younger
+    assert (
+        owed.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
+        and owed.expired == 1
+    )
+    assert (
+        owed.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
+    )  # moving on does not make it younger
     assert len(owed) == 0 and owed.expired == 2
-    owed.asked(0, 2)
-    for k in range(3 * releases.MOST_UNCONFIRMED):
-        owed.over(0, 2, str(k), b"")
-    assert len(owed) == releases.MOST_UNCONFIRMED
-    owed = Releases()
-    for k in range(2 * releases.MOST_OWED):
-        owed.over(0, 1, str(k), b"")
-    assert len(owed) == releases.MOST_OWED
+    owed.session_requested(0, 2)
+    for k in range(3 * viewer_releases.MAX_UNCONFIRMED):
+        owed.add(0, 2, str(k), b"")
+    assert len(owed) == viewer_releases.MAX_UNCONFIRMED
+    owed = ViewerReleases()
+    for k in range(2 * viewer_releases.MAX_UNSENT):
+        owed.add(0, 1, str(k), b"")
+    assert len(owed) == viewer_releases.MAX_UNSENT
 
 
 # ---- Telling the module -----------------------------------------------------------------------------------
@@ -601,16 +616,18 @@
     box = line(most=1)
     assert box.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
     assert box.handle(10, server_pool.ConnectRequested()) == []  # one is opening
-    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreached(7)]
+    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupNotSent(7)]
     opened = [
         now for now in range(300, 20_000, 100) for a in box.handle(now, server_pool.Tick()) if a in OPENS
     ]
     assert opened[0] == 300 and len(opened) < 12  # each fails, and waits grow
-    assert box.handle(20_000, server_pool.ConnectionOpened(box._last)) == [] and not box.connect_requested
+    assert (
+        box.handle(20_000, server_pool.ConnectionOpened(box._last_conn)) == [] and not box.connect_requested
+    )
     refused = line()
     assert refused.handle(0, server_pool.ConnectRequested()) == [server_pool.OpenConnection(1, 250.0)]
     assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [
-        server_pool.DropUnsent()
+        server_pool.DiscardUnsent()
     ]  # its process is gone, and its sessions
     assert refused.handle(900, server_pool.Tick()) == []
 
@@ -623,7 +640,7 @@
     box.handle(0, server_pool.SetupQueued(7))
     assert box.handle(1, server_pool.ServerRemoved()) == [
         server_pool.CloseConnection(1),
-        server_pool.SetupUnreached(7),
+        server_pool.SetupNotSent(7),
     ]
     box.handle(2, server_pool.ServerListed(False))
     assert not box.is_removed and box.handle(3, server_pool.SetupQueued(8)) == [
@@ -632,11 +649,11 @@
     box.handle(4, server_pool.ConnectionOpened(2))
     box.handle(5, server_pool.SetupQueued(9))
     box.handle(6, server_pool.ConnectionOpened(3))
-    box.handle(7, server_pool.SlotReleased(3))
+    box.handle(7, server_pool.SetupFinished(3))
     # at another address now: the idle one goes, the one with a set-up out ends what it has, nothing joins it
     assert box.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
     assert box.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
-    box.handle(10, server_pool.SlotReleased(2))
+    box.handle(10, server_pool.SetupFinished(2))
     assert server_pool.RetireConnection(2) in box.handle(11, server_pool.Tick())
 
 
@@ -654,7 +671,7 @@
         server_pool.UseConnection(1, 7),
         server_pool.UseConnection(1, 8),
     ]
-    assert not box.waiting and box.out == 2
+    assert not box.waiting and box.in_flight == 2
     narrow = line(most=1, streams=1)
     narrow.handle(0, server_pool.SessionsChanged(1))
     narrow.handle(1, server_pool.ConnectionOpened(1))
@@ -662,7 +679,7 @@
     for key in (7, 8):
         narrow.handle(2, server_pool.SetupQueued(key))
     assert narrow.handle(3, server_pool.DataReceived(1)) == [server_pool.UseConnection(1, 7)]
-    assert narrow.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 8)]
+    assert narrow.handle(4, server_pool.SetupFinished(1)) == [server_pool.UseConnection(1, 8)]
 
 
 def test_set_ups_that_wait_get_a_connection_when_the_last_one_went_to_an_old_address() -> None:
@@ -671,7 +688,7 @@
     box.handle(1, server_pool.ConnectionOpened(1))
     box.handle(2, server_pool.ServerListed(True))
     assert box.handle(3, server_pool.SetupQueued(8)) == []
-    assert box.handle(4, server_pool.SlotReleased(1)) == []
+    assert box.handle(4, server_pool.SetupFinished(1)) == []
     assert box.handle(100, server_pool.Tick()) == [
         server_pool.RetireConnection(1),
         server_pool.OpenConnection(2, 250.0),
--- a/tests/test_platform_farewells.py
+++ b/tests/test_platform_session_endings.py
@@ -11,8 +11,15 @@
 from foxlift import interface as fl
 from foxlift.platform import events as ev
 from foxlift.platform import server_pool
-from foxlift.platform.farewells import KEPT_MS, MOST, MOST_TIMES, WORDS_KEPT_MS, Farewells, Word
-from foxlift.platform.settings import Address, Told
+from foxlift.platform.session_endings import (
+    END_RETENTION_MS,
+    MAX_ENTRIES,
+    MAX_SENDS,
+    RELEASE_RETENTION_MS,
+    EndSource,
+    SessionEndings,
+)
+from foxlift.platform.settings import Address, ListUpdate
 from foxlift.standins.platform import finish_line, rtsp_answer, rtsp_request, start_line
 
 BOX = 11
@@ -33,14 +40,14 @@
     world.box(BOX, 101, rtsp_request("TEARDOWN", name(1), f"Reason: cause={cause}\r\n"))
     world.viewer(handed_over(name(1)))
     assert [m["rc"] for _, m in world.sent if m["verb"] == "FINISH"] == told
-    assert world.core.sizes()["sessions"] == (0 if told else 1)
+    assert world.core.table_sizes()["sessions"] == (0 if told else 1)
 
 
 def test_an_end_that_another_box_tells_says_nothing_of_the_session() -> None:
     world = World()
     world.box(BOX + 1, 101, rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
     world.viewer(handed_over(name(1)))
-    assert world.core.sizes()["sessions"] == 1 and not world.verbs(name(1))
+    assert world.core.table_sizes()["sessions"] == 1 and not world.verbs(name(1))
 
 
 def test_a_release_that_comes_before_its_hand_over_reaches_the_box() -> None:
@@ -48,7 +55,7 @@
     world.viewer(finish_line(name(1), 16), conn=2)
     world.viewer(handed_over(name(1)))
     assert world.verbs(name(1)) == ["FINISHED"]  # heard, and nothing else is owed
-    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.sizes()["sessions"]
+    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
 
 
 def test_a_release_while_the_hand_over_waits_for_the_list_reaches_the_box_once_it_is_named() -> None:
@@ -56,8 +63,8 @@
     world.viewer(handed_over(name(1)))
     world.viewer(finish_line(name(1), 16))
     listed = World(boxes={BOX: 0, 12: 1}).config.known[0]
-    world.tell(ev.Listed(listed))
-    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.sizes()["sessions"]
+    world.tell(ev.ListUpdated(listed))
+    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
     world.pass_time(4000)
     assert world.verbs(name(1)) == ["FINISHED"]
 
@@ -68,7 +75,7 @@
     world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
     world.viewer(handed_over(name(1), node))
     world.viewer(handed_over(name(1), node))
-    assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not world.core.sizes()["sessions"]
+    assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not world.core.table_sizes()["sessions"]
 
 
 def test_a_release_on_a_connection_that_breaks_is_sent_again_unless_the_box_heard_it() -> None:
@@ -79,23 +86,23 @@
     node, conn = places[1]
     world.box(places[2][0], places[2][1], rtsp_answer(200, name(2), cseq=2))
     for broken in {places[1], places[2]}:
-        world.tell(ev.BoxConnectionLost(*broken))
+        world.tell(ev.ServerConnectionLost(*broken))
     assert at_box(world, name(1)) == [b"TEARDOWN"] * 2 and at_box(world, name(2)) == [b"TEARDOWN"]
     assert world.boxed[-1][:2] == (node, 0)  # on any connection
     for _ in range(5):
-        world.tell(ev.BoxConnectionLost(node, conn))
-    assert len(at_box(world, name(1))) == MOST_TIMES
-    world.pass_time(KEPT_MS + 1)
+        world.tell(ev.ServerConnectionLost(node, conn))
+    assert len(at_box(world, name(1))) == MAX_SENDS
+    world.pass_time(RELEASE_RETENTION_MS + 1)
     world.stand(name(3))
-    assert not len(world.core.farewells)
+    assert not len(world.core.session_endings)
 
 
 def test_a_box_that_was_silent_too_long_is_told_of_the_ends_it_may_not_know() -> None:
     world = World()
     node, _ = world.stand(name(1))
-    world.tell(ev.BoxLost(node, "gone"))
+    world.tell(ev.ServerLost(node, "gone"))
     assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not at_box(world, name(1))
-    world.tell(ev.BoxLost(*world.stand(name(2))[:1], server_pool.SILENT))
+    world.tell(ev.ServerLost(*world.stand(name(2))[:1], server_pool.SILENT))
     assert world.verbs(name(2)) == ["STARTED", "FINISH"] and at_box(world, name(2)) == [b"TEARDOWN"]
 
 
@@ -115,16 +122,19 @@
 
 
 def test_words_and_releases_are_bounded_in_number_and_time() -> None:
-    table = Farewells()
-    for k in range(2 * MOST):
-        table.said(0, name(k), Word.VIEWER, cause=16)
-        table.sent(0, BOX, name(k), b"x")
-    assert len(table._words) == len(table) == MOST
-    assert table.word(1, name(2 * MOST - 1), BOX) == (Word.VIEWER, 16) and table.word(1, name(0), BOX) is None
-    assert table.word(WORDS_KEPT_MS + 1, name(2 * MOST - 1), BOX) is None
-    table.gone(BOX)
-    table.expire(WORDS_KEPT_MS + 1)
-    assert not len(table) and not table._words
+    table = SessionEndings()
+    for k in range(2 * MAX_ENTRIES):
+        table.record_end(0, name(k), EndSource.VIEWER, cause=16)
+        table.release_sent(0, BOX, name(k), b"x")
+    assert len(table._ends) == len(table) == MAX_ENTRIES
+    assert (
+        table.find_end(1, name(2 * MAX_ENTRIES - 1), BOX) == (EndSource.VIEWER, 16)
+        and table.find_end(1, name(0), BOX) is None
+    )
+    assert table.find_end(END_RETENTION_MS + 1, name(2 * MAX_ENTRIES - 1), BOX) is None
+    table.server_removed(BOX)
+    table.expire(END_RETENTION_MS + 1)
+    assert not len(table) and not table._ends
 
 
 @pytest.mark.parametrize("how", ["gone", "left out of a whole list"])
@@ -134,15 +144,17 @@
     node, _ = world.stand(name(1))
     other, _ = world.stand(name(2))
     before = world.config.known[0]
-    [entry] = [box for box in before.boxes if box.info.node == node]
+    [entry] = [box for box in before.servers if box.info.node == node]
     if how == "gone":
-        off = Told(2, False, (replace(entry, info=replace(entry.info, status=fl.Status.GONE)),))
+        off = ListUpdate(2, False, (replace(entry, info=replace(entry.info, status=fl.Status.GONE)),))
     else:
-        off = Told(2, True, tuple(box for box in before.boxes if box.info.node != node))
-    world.tell(ev.Listed(off))
+        off = ListUpdate(2, True, tuple(box for box in before.servers if box.info.node != node))
+    world.tell(ev.ListUpdated(off))
     world.now += 500
     world.tell(
-        ev.Listed(Told(3, False, (replace(entry, info=replace(entry.info, started_ms=world.now - 10)),)))
+        ev.ListUpdated(
+            ListUpdate(3, False, (replace(entry, info=replace(entry.info, started_ms=world.now - 10)),))
+        )
     )
     assert world.verbs(name(1)) == ["STARTED", "FINISH"]
     assert world.verbs(name(2)) == (["STARTED"] if other != node else ["STARTED", "FINISH"])
@@ -152,40 +164,42 @@
     world = World()
     node, _ = world.stand(name(1))
     before = world.config.known[0]
-    world.tell(ev.Listed(Told(2, True, tuple(box for box in before.boxes if box.info.node != node))))
+    world.tell(
+        ev.ListUpdated(ListUpdate(2, True, tuple(box for box in before.servers if box.info.node != node)))
+    )
     for number, started in ((3, 0.0), (4, world.now - 10)):  # of before the session began
-        [entry] = [box for box in before.boxes if box.info.node == node]
+        [entry] = [box for box in before.servers if box.info.node == node]
         info = replace(entry.info, started_ms=started)
-        world.tell(ev.Listed(Told(number, False, (replace(entry, info=info),))))
+        world.tell(ev.ListUpdated(ListUpdate(number, False, (replace(entry, info=info),))))
     assert world.verbs(name(1)) == ["STARTED"]
 
 
 def test_set_ups_given_up_are_remembered_until_the_box_confirms_or_for_a_while() -> None:
-    table = Farewells()
-    table.gave_up(0, BOX, 5, name(1))
-    assert table.is_old(1, BOX, 5, name(1))
-    assert not table.is_old(1, BOX, 6, name(1)) and not table.is_old(1, BOX, 5, name(2))
-    table.heard(BOX, 6, name(1))
-    assert table.is_old(1, BOX, 5, name(1))
-    table.heard(BOX, 5, name(1))
-    assert not table.is_old(1, BOX, 5, name(1))
-    for k in range(2 * MOST):
-        table.gave_up(0, BOX, 5, name(k))
-    assert len(table._given_up) == MOST and table.is_old(1, BOX, 5, name(2 * MOST - 1))
-    assert not table.is_old(KEPT_MS + 1, BOX, 5, name(2 * MOST - 1))
-    table.expire(KEPT_MS + 1)
-    assert not table._given_up
+    table = SessionEndings()
+    table.setup_abandoned(0, BOX, 5, name(1))
+    assert table.is_abandoned(1, BOX, 5, name(1))
+    assert not table.is_abandoned(1, BOX, 6, name(1)) and not table.is_abandoned(1, BOX, 5, name(2))
+    table.confirmed(BOX, 6, name(1))
+    assert table.is_abandoned(1, BOX, 5, name(1))
+    table.confirmed(BOX, 5, name(1))
+    assert not table.is_abandoned(1, BOX, 5, name(1))
+    for k in range(2 * MAX_ENTRIES):
+        table.setup_abandoned(0, BOX, 5, name(k))
+    assert len(table._abandoned) == MAX_ENTRIES and table.is_abandoned(1, BOX, 5, name(2 * MAX_ENTRIES - 1))
+    assert not table.is_abandoned(RELEASE_RETENTION_MS + 1, BOX, 5, name(2 * MAX_ENTRIES - 1))
+    table.expire(RELEASE_RETENTION_MS + 1)
+    assert not table._abandoned
 
 
 def test_a_box_that_started_anew_and_lost_its_address_in_one_event_costs_nothing_else() -> None:
     world = World()
     node, _ = world.stand(name(1))
     before = world.config.known[0]
-    [entry] = [box for box in before.boxes if box.info.node == node]
+    [entry] = [box for box in before.servers if box.info.node == node]
     anew = replace(entry, info=replace(entry.info, started_ms=world.now + 10))
     taker = replace(entry, info=replace(entry.info, node=77, started_ms=world.now + 20))
     last = replace(entry, info=replace(entry.info, node=78), address=Address("10.0.0.78", 5060))
     world.now += 500
-    world.tell(ev.Listed(Told(2, False, (anew, taker, last))))
+    world.tell(ev.ListUpdated(ListUpdate(2, False, (anew, taker, last))))
     assert world.verbs(name(1)) == ["STARTED", "FINISH"]
     assert {77, 78} <= set(world.core.module.nodes) and node not in world.core.module.nodes
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -110,7 +110,7 @@
             assert over is not None and (over["verb"], over["rc"]) == ("FINISH", 16)
             assert not any(
                 v
-                for k, v in world.director.core.sizes().items()
+                for k, v in world.director.core.table_sizes().items()
                 if k in ("sessions", "ids", "attempts", "ghosts")
             )
 
@@ -337,7 +337,7 @@
                 await asyncio.sleep(0.005)
             box = world.box_of(name(1))
             box.writers[-1].write(rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
-            while not world.director.core.sizes()["releases"]:
+            while not world.director.core.table_sizes()["releases"]:
                 await asyncio.sleep(0.005)
             second = await world.viewer()
             second.send(start_line(name(3)))
@@ -386,7 +386,7 @@
             await world.feed.connected.wait()
             assert world.feed.asked == [1]
             world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1, cell=0))
-            while world.director.core._boxes[1].status.name != "DRAINING":
+            while world.director.core._servers[1].status.name != "DRAINING":
                 await asyncio.sleep(0.002)
             viewer = await world.viewer()
             for k in range(1, 7):
@@ -407,7 +407,7 @@
                 world.director.reload()
             await other.connected.wait()
             assert other.asked == [2] and world.director.count["reloads"] == 1
-            while world.director.core._boxes[1].status.name != "READY":
+            while world.director.core._servers[1].status.name != "READY":
                 await asyncio.sleep(0.002)
             other.stop()
 
@@ -438,12 +438,14 @@
     async def test() -> None:
         async with scene(tmp_path) as world:
             director = world.director
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: director.guard(context))
+            asyncio.get_running_loop().set_exception_handler(
+                lambda _, context: director.handle_exception(context)
+            )
             good = await world.viewer()
             handle = director.core.handle
 
             def faulty(now: float, event: ev.Event) -> list[ev.Action]:
-                if isinstance(event, ev.FromViewer) and event.message.tag == name(1):
+                if isinstance(event, ev.ViewerMessageReceived) and event.message.tag == name(1):
                     raise RuntimeError("fault")
                 return handle(now, event)
 
@@ -451,7 +453,7 @@
             bad = await world.viewer()
             bad.send(start_line(name(1)))
             assert await bad.read() is None
-            director.timeline.later(0.0, lambda: director.tell(ev.Unreached(None, 1)))  # type: ignore[arg-type]
+            director.timeline.later(0.0, lambda: director.notify_core(ev.SetupNotSent(None, 1)))  # type: ignore[arg-type]
             director.timeline.later(0.0, lambda: 1 / 0)  # type: ignore[arg-type]
             while director.count["exceptions"] < 2:
                 await asyncio.sleep(0.005)
@@ -500,7 +502,7 @@
                 writer.write(event[:20])
                 writer.close()
             world.feed.frames.append((2, 2, event[13:]))
-            while world.director.core._boxes[1].status is not fl.Status.DRAINING:
+            while world.director.core._servers[1].status is not fl.Status.DRAINING:
                 await asyncio.sleep(0.002)
             assert world.feed.asked == [1, 1]
 
@@ -518,8 +520,8 @@
             box.behave = lambda tag, body, writer: True
             viewer.send(start_line(name(3), opts={"left": "60000"}))
             await box.until(lambda: "SETUP" in box.methods(name(3)))
-            assert world.director.boxes_line() == "s-00000001 plays 2 sets up 1 out 1 on 1"
-            assert "asked 3" in world.director.last_line()
+            assert world.director.servers_line() == "s-00000001 plays 2 sets up 1 out 1 on 1"
+            assert "asked 3" in world.director.summary_line()
 
     play(test)
 
