--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -74,7 +74,7 @@
 async def settled(world: Scene) -> None:
     """Nothing is asked or out any more."""
     core = world.director.core
-    while core.unanswered or any(line.out for line in world.director.servers.pools.values()):
+    while core.unanswered or any(line.in_flight for line in world.director.servers.pools.values()):
         await asyncio.sleep(0)
 
 
@@ -166,19 +166,19 @@
             [box] = world.boxes
             viewer = await world.viewer()
             out = holds(box, name(1))
-            take = world.director.core.take
+            take = world.director.core.take_setup
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
                 # it is in the machine's buffers as the set-up is written
                 push(viewer, finish_line(name(1)))
                 return take(now, number, node, conn)
 
-            world.director.core.take = taken  # type: ignore[method-assign]
+            world.director.core.take_setup = taken  # type: ignore[method-assign]
             viewer.send(start_line(name(1), "paid", opts=HELD))
             await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
             [(_, body, writer)] = out
             put(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
-            world.director.core.take = take  # type: ignore[method-assign]
+            world.director.core.take_setup = take  # type: ignore[method-assign]
             await served(world, 2)
             assert [m["verb"] for m in await told(viewer, 99)] == ["FINISHED"]
             assert world.director.core.counts["answer that belongs to nothing"] == 1
@@ -303,7 +303,7 @@
 
             for box in world.boxes:
                 box.behave = behave
-            take = world.director.core.take
+            take = world.director.core.take_setup
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
                 if how == "not read, reset" and not closed:
@@ -311,7 +311,7 @@
                     reset(writers[node - 1])  # after the last look at the sockets, before the write
                 return take(now, number, node, conn)
 
-            world.director.core.take = taken  # type: ignore[method-assign]
+            world.director.core.take_setup = taken  # type: ignore[method-assign]
             viewer.send(start_line(name(1), klass, opts=HELD))
             answer = await viewer.answer(name(1))
             assert answer is not None and closed
@@ -419,7 +419,9 @@
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             director, faults = world.director, 0
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: director.guard(context))
+            asyncio.get_running_loop().set_exception_handler(
+                lambda _, context: director.handle_exception(context)
+            )
 
             handle = director.servers.handle
 
@@ -468,7 +470,7 @@
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
             director, opened = world.director, asyncio.Event()
-            connect, up = director.servers._connect, director.servers.opened
+            connect, up = director.servers._connect, director.servers.connection_opened
 
             async def late(node: int, conn: int, address: Any) -> None:
                 await opened.wait()
@@ -479,7 +481,7 @@
                 up(connection)
 
             director.servers._connect = late  # type: ignore[method-assign]
-            director.servers.opened = stands_then  # type: ignore[method-assign]
+            director.servers.connection_opened = stands_then  # type: ignore[method-assign]
             viewer = await world.viewer()
             viewer.send(start_line(name(1), klass, opts={"left": "100"}))
             while not director.servers.opening:
@@ -487,7 +489,7 @@
             opened.set()
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 34)
-            director.servers.opened = up  # type: ignore[method-assign]
+            director.servers.connection_opened = up  # type: ignore[method-assign]
             await served(world, 2)
             assert sent(world, 1) == 0
 
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -17,7 +17,7 @@
 from test_platform_sockets import Scene, name, play, scene
 
 from foxlift import interface as fl
-from foxlift.platform import feed
+from foxlift.platform import discovery_watch
 from foxlift.platform.discovery import Discovery
 from foxlift.platform.discovery_connection import DiscoveryConnection
 from foxlift.platform.settings import Address, read
@@ -26,7 +26,7 @@
 
 
 async def numbered(director: PlatformDirector, number: int) -> None:
-    while director.discovery.feed.number < number:
+    while director.discovery.watch.number < number:
         await asyncio.sleep(0)
 
 
@@ -48,7 +48,7 @@
             given_up.append(self)
             discovery = self._owner
             assert isinstance(discovery, Discovery)
-            discovery.handle(feed.Due(discovery.feed._turn))
+            discovery.handle(discovery_watch.TimerExpired(discovery.watch._timer_id))
 
     monkeypatch.setattr(DiscoveryConnection, "connection_made", too_late)
 
@@ -83,7 +83,7 @@
             await asyncio.sleep(0)
         feeds[1].tell(2, 2, record(1, box.address, state=1))
         await numbered(director, 2)
-        assert feeds[1].asked == [1] and not feeds[0].asked and director.discovery.feed.reconnects == 1
+        assert feeds[1].asked == [1] and not feeds[0].asked and director.discovery.watch.reconnects == 1
         await director.close()
         for each in feeds:
             each.stop()
@@ -109,7 +109,7 @@
             await numbered(world.director, 3)
             later.tell(4, 2, record(2, world.boxes[1].address, state=1))
             await numbered(world.director, 4)
-            boxes = world.director.core._boxes
+            boxes = world.director.core._servers
             assert [boxes[k].status for k in (1, 2)] == [fl.Status.READY, fl.Status.DRAINING]
             assert world.feed.asked == [1]
             later.stop()
@@ -138,12 +138,12 @@
             nodes = director.core.module.nodes
             before = {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes}
             world.feed.frames = [(3, 1, b"".join(whole))]
-            for asks in range(1, feed.WHOLE_AFTER + 1):
+            for asks in range(1, discovery_watch.MAX_MISREADS + 1):
                 world.feed.writers[-1].write(frame(9, 2, record(3, addresses[2], state=2, cell=2)))
                 while len(world.feed.asked) <= asks:
                     await asyncio.sleep(0)
             assert world.feed.asked[-1] == 0
-            while director.discovery.feed._misread:
+            while director.discovery.watch._misreads:
                 await asyncio.sleep(0)
             assert {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes} == before
             assert nodes[1].cold_since == cold_since and nodes[3].cold_since < 0
@@ -163,7 +163,7 @@
         async with scene(tmp_path) as world:
             director, addresses = world.director, [box.address for box in world.boxes]
             await world.feed.connected.wait()
-            take = director.core.take
+            take = director.core.take_setup
             told: list[int] = []
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
@@ -176,7 +176,7 @@
                     director.discovery.connection.data_received(drain + whole)
                 return take(now, number, node, conn)
 
-            director.core.take = taken  # type: ignore[method-assign]
+            director.core.take_setup = taken  # type: ignore[method-assign]
             viewer = await world.viewer()
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             answer = await viewer.answer(name(1))
@@ -194,11 +194,11 @@
 @pytest.mark.parametrize("how", ["refused", "silent"])
 def test_two_hundred_directors_come_back_soon_and_not_in_step(how: str) -> None:
     """The coordinator is down: connections break and are refused, or it and its address fall silent."""
-    feeds = [feed.Feed(Address("10.0.0.1", 4222), 1, seed) for seed in range(DIRECTORS)]
-    queue: list[tuple[float, int, int, feed.Event]] = []
+    feeds = [discovery_watch.DiscoveryWatch(Address("10.0.0.1", 4222), 1, seed) for seed in range(DIRECTORS)]
+    queue: list[tuple[float, int, int, discovery_watch.Event]] = []
     order = 0
 
-    def at(due: float, k: int, event: feed.Event) -> None:
+    def at(due: float, k: int, event: discovery_watch.Event) -> None:
         nonlocal order
         order += 1
         heapq.heappush(queue, (due, order, k, event))
@@ -206,35 +206,37 @@
     asked: list[list[float]] = [[] for _ in feeds]
     tried: list[float] = []
 
-    def do(now: float, k: int, actions: list[feed.Action]) -> None:
+    def do(now: float, k: int, actions: list[discovery_watch.Action]) -> None:
         for action in actions:
             match action:
-                case feed.Connect():
+                case discovery_watch.OpenConnection():
                     tried.append(now)
                     if not 0 <= now < DOWN_MS:
-                        at(now + 1, k, feed.Opened())
+                        at(now + 1, k, discovery_watch.ConnectionOpened())
                     elif how == "refused":
-                        at(now + 1, k, feed.Closed())
-                case feed.Ask():
+                        at(now + 1, k, discovery_watch.ConnectionClosed())
+                case discovery_watch.RequestUpdates():
                     asked[k].append(now)
-                    at(now + 1, k, feed.Heard((feed.Frame(1, None),)))
-                case feed.Later(delay, turn):
-                    at(now + delay, k, feed.Due(turn))
+                    at(now + 1, k, discovery_watch.FramesReceived((discovery_watch.Frame(1, None),)))
+                case discovery_watch.StartTimer(delay, turn):
+                    at(now + delay, k, discovery_watch.TimerExpired(turn))
 
     for k, each in enumerate(feeds):
         do(-1500.0 + k, k, each.start())  # started one after the other
     for k in range(DIRECTORS):
         if how == "refused":
-            at(0.0, k, feed.Closed())
+            at(0.0, k, discovery_watch.ConnectionClosed())
         else:
-            at(-1.0, k, feed.Heard((feed.Frame(1, None),)))
+            at(-1.0, k, discovery_watch.FramesReceived((discovery_watch.Frame(1, None),)))
     while queue and queue[0][0] < DOWN_MS + 2000:
         now, _, k, event = heapq.heappop(queue)
         do(now, k, feeds[k].handle(now, event))
     back = [min(t for t in mine if t >= DOWN_MS) - DOWN_MS for mine in asked]
     assert all(t < 0 or t >= DOWN_MS for mine in asked for t in mine)
-    assert max(back) <= feed.LONGEST_WAIT_MS * 1.25 + feed.OPEN_MS  # told long before 4 s
+    assert (
+        max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
+    )  # told long before 4 s
     most = max(sum(1 for t in back if start <= t < start + 50) for start in range(0, int(max(back)), 10))
     assert most <= DIRECTORS / 4, sorted(back)  # of all in any 50 ms
     during = sum(1 for t in tried if 0 <= t < DOWN_MS)
-    assert during <= DIRECTORS * (DOWN_MS / (feed.LONGEST_WAIT_MS * 0.75) + 6)
+    assert during <= DIRECTORS * (DOWN_MS / (discovery_watch.MAX_BACKOFF_MS * 0.75) + 6)
--- a/tests/test_scale_load.py
+++ b/tests/test_scale_load.py
@@ -20,9 +20,9 @@
 from bench.scale.series import Quantity, Run, measure_series
 from foxlift import interface as fl
 from foxlift.platform import events as ev
-from foxlift.platform.farewells import Farewells
-from foxlift.platform.releases import OWED_MS, Releases
-from foxlift.platform.settings import Address, Box, Told
+from foxlift.platform.session_endings import SessionEndings
+from foxlift.platform.settings import Address, ListedServer, ListUpdate
+from foxlift.platform.viewer_releases import RETENTION_MS, ViewerReleases
 
 MAX_SESSION_BYTES = 2200  # objects of core and module; measured: 1,600
 MAX_CLAIM_BYTES = 450  # measured: 334
@@ -149,16 +149,16 @@
 
 
 def _lose_connection(loaded: CoreUnderLoad) -> None:
-    loaded.handle(ev.BoxConnectionLost(1, 2))
+    loaded.handle(ev.ServerConnectionLost(1, 2))
 
 
 def _lose_server(loaded: CoreUnderLoad) -> None:
-    loaded.handle(ev.BoxLost(99, "refused"))
+    loaded.handle(ev.ServerLost(99, "refused"))
 
 
 def _list_server(loaded: CoreUnderLoad) -> None:
     info = fl.NodeInfo(98, 0, 0, 0, fl.Status.READY, started_ms=loaded.now)
-    loaded.handle(ev.Listed(Told(2, False, (Box(info, Address("10.255.0.1", 5060)),))))
+    loaded.handle(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address("10.255.0.1", 5060)),))))
 
 
 def _note(loaded: CoreUnderLoad) -> None:
@@ -184,35 +184,35 @@
     assert steps[1] < steps[0] * 1.2, steps
 
 
-def _farewells_with_one_of_box_2(others: int) -> Farewells:
-    farewells = Farewells()
+def _farewells_with_one_of_box_2(others: int) -> SessionEndings:
+    farewells = SessionEndings()
     for k in range(others):
-        farewells.sent(0.0, 1, f"{k:016x}", b"other")
-    farewells.sent(0.0, 2, "own", b"own")
+        farewells.release_sent(0.0, 1, f"{k:016x}", b"other")
+    farewells.release_sent(0.0, 2, "own", b"own")
     return farewells
 
 
 @pytest.mark.parametrize(
     "event",
-    [lambda farewells: farewells.lost(1.0, 2), lambda farewells: farewells.gone(2)],
+    [lambda farewells: farewells.connection_lost(1.0, 2), lambda farewells: farewells.server_removed(2)],
     ids=["a connection is lost", "the box is gone"],
 )
 def test_the_work_on_releases_of_one_box_does_not_grow_with_those_of_others(
-    event: Callable[[Farewells], object],
+    event: Callable[[SessionEndings], object],
 ) -> None:
     few, many = _farewells_with_one_of_box_2(10), _farewells_with_one_of_box_2(1000)
     steps = [_steps(partial(event, farewells)) for farewells in (few, many)]
     assert steps[1] < steps[0] * 1.2, steps
-    assert many.lost(2.0, 1) == [b"other"] * 1000
+    assert many.connection_lost(2.0, 1) == [b"other"] * 1000
 
 
 def test_releases_that_no_viewer_confirms_are_forgotten_once_they_are_not_owed_any_more() -> None:
-    owed = Releases()
+    owed = ViewerReleases()
     for conn in range(100):
-        owed.served(0.0, conn)
+        owed.session_started(0.0, conn)
         for k in range(10):
-            owed.over(0.0, conn, f"{conn} {k}", b"release")
+            owed.add(0.0, conn, f"{conn} {k}", b"release")
     assert len(owed) == 1000
-    owed.over(OWED_MS + 1, 7, "new", b"release")
+    owed.add(RETENTION_MS + 1, 7, "new", b"release")
     assert len(owed) == 1 and owed.expired == 1000
-    assert [write.data for write in owed.gone(OWED_MS + 2, 7)] == [b"release"]
+    assert [write.data for write in owed.connection_closed(RETENTION_MS + 2, 7)] == [b"release"]
