--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -15,7 +15,7 @@
 from foxlift.membership.boxlist import encode_full, read_response
 from foxlift.peers import view
 from foxlift.peers.messages import MAX_UPDATES, PeerState, Ping, Update
-from foxlift.platform import feed
+from foxlift.platform import discovery_watch
 from foxlift.recovery import takeover
 from foxlift.zones import agreement
 from foxlift.zones.evidence import Evidence, Report, ZoneObservation
@@ -125,7 +125,7 @@
     return processor_ms(lambda: machine.handle(0.0, heard), rounds=31)
 
 
-# ---- Proposer --------------------------------------------------------------------------------------------
+# ---- Registers -------------------------------------------------------------------------------------------
 def _holders_of_a_claim(directors: int) -> Sample:
     names = frozenset(director_names(directors))
     return processor_ms(lambda: replicas_of("t/7f2c5f3e-6a51-4a0e-9a25-0d2bb9d41c55", names, 5))
@@ -235,8 +235,10 @@
 
 
 def _whole_frame(servers: int) -> bytes:
-    head = feed._HEAD.pack(feed._HEAD.size - 4 + feed._RECORD.size * servers, 1, 1)
-    record = feed._RECORD.pack
+    head = discovery_watch._FRAME_HEADER.pack(
+        discovery_watch._FRAME_HEADER.size - 4 + discovery_watch._SERVER_RECORD.size * servers, 1, 1
+    )
+    record = discovery_watch._SERVER_RECORD.pack
     rows = (
         record(number, 10, 1, number >> 8 & 255, number & 255, 5060, 0, number % 9, 0, 0, 1000, 0)
         for number in range(servers)
@@ -250,7 +252,7 @@
 
 def _reading_a_frame(servers: int) -> Sample:
     frame = _whole_frame(servers)
-    return processor_ms(lambda: feed.Reader(9, 1, 1).feed(frame), rounds=5)
+    return processor_ms(lambda: discovery_watch.FrameReader(9, 1, 1).feed(frame), rounds=5)
 
 
 SERVER_SIZES = (300, 1_000, 3_000, 10_000, 30_000)
