--- a/foxlift/control/status.py
+++ b/foxlift/control/status.py
@@ -25,7 +25,7 @@
         digest=log.content.digest,
         keys=len(log.content.values),
         directors=sum(report.directors for report in told),
-        in_force=min((report.least for report in told), default=0),
+        in_force=min((report.oldest_version for report in told), default=0),
         leads=member is not None and member.is_leader(now),
         members=tuple(MemberStatus(name, name in alive) for name in plan.members) if alive else (),
         refusals=_refusals(told),
--- a/foxlift/rollout/__init__.py
+++ b/foxlift/rollout/__init__.py
@@ -1,7 +1,7 @@
-"""Changes of configuration carried to every director: a replicated log, relays, stages. No I/O.
+"""Distributes configuration changes to every director: a replicated log, relays, staged release. No I/O.
 
-A small group of control servers agrees on one numbered log of changes (a consensus register for each
-version, `foxlift.accord`). Relays follow the log; directors watch a relay and acknowledge by version. A
-change is offered to a few directors first (canaries) and to the whole fleet once they have taken it; one
-that a canary refuses is reverted by a later version, so that nobody else ever has it.
+A small group of control servers agrees on one numbered log of changes (one consensus register per version,
+`foxlift.accord`). Relays replicate the log; each director polls a relay and acknowledges by version number. A
+change goes to a few directors first (canaries) and to the whole fleet once they have applied it. One that
+a canary refuses is reverted by a later version, so that no other director ever applies it.
 """
--- a/foxlift/rollout/acceptor.py
+++ b/foxlift/rollout/acceptor.py
@@ -1,16 +1,16 @@
-"""A group member's part of the log's registers: an acceptor of single-decree Paxos for each version.
-
-    version    event                                    what is done
-    open       Prepare, ballot not under the promise    promise it, on disk, then answer
-    open       Accept, ballot not under the promise     take the value, on disk, then answer
-    open       a lower ballot                           Reject with the higher one
-    decided    anything                                 Reject: its asker lies behind and must catch up
-    uncertain  anything                                 Reject: a lost disk may have held it
-
-A version is decided here once its entry is in the member's log. One that lost its disk may have promised or
-taken something of the version after any that it knew to be decided; whatever it knew, more than half of the
-group has taken. So it says nothing up to one version above the highest that more than half of the others
-tell, and the others decide that one without it.
+"""A group member's Paxos acceptor: one single-decree register for each version of the log. No I/O.
+
+    version    event                                       what is done
+    open       Prepare, ballot not below the promised one  store the promise on disk, then reply
+    open       Accept, ballot not below the promised one   store the accepted value on disk, then reply
+    open       a lower ballot                              Reject, with the promised ballot
+    decided    any request                                 Reject: the proposer is behind and must catch up
+    uncertain  any request                                 Reject: the member's lost disk may have voted on it
+
+A version is decided here once its entry is in the member's log. A member that lost its disk may have promised
+or accepted a value for the version after the last decided one that it knew. More than half of the group have
+accepted every decided version. The member therefore does not vote on any version up to one above the highest
+that more than half of the other members report; the others decide that version without it.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 from foxlift.accord.messages import Answer, Ask, Ballot, Prepare, Promise, Reject, Taken
 
 MAX_OPEN_VERSIONS = 4096
-MAX_WAITING = 4096  # asks that wait for the disk
-MAX_DIGITS = 16
-_PREFIX = "config/"
+MAX_PENDING_REQUESTS = 4096  # requests that wait for a disk write
+MAX_VERSION_DIGITS = 16
+_KEY_PREFIX = "config/"
 
 
 def register_key(version: int) -> str:
-    """The name of a version's register."""
-    return f"{_PREFIX}{version}"
+    """The register key of a version."""
+    return f"{_KEY_PREFIX}{version}"
 
 
 def register_version(key: str) -> int | None:
-    """The version of a register's name; None for any other name."""
-    number = key.removeprefix(_PREFIX)
-    if number == key or not number.isdigit() or len(number) > MAX_DIGITS or number.startswith("0"):
+    """The version of a register key; None for any other key."""
+    digits = key.removeprefix(_KEY_PREFIX)
+    if digits == key or not digits.isdigit() or len(digits) > MAX_VERSION_DIGITS or digits.startswith("0"):
         return None
-    return int(number)
+    return int(digits)
 
 
 class OpenVersion(msgspec.Struct, frozen=True, array_like=True):
-    """What the disk must have of an open version before an answer leaves."""
+    """State of an undecided version, stored on disk before the reply is sent."""
 
     version: int
     promised: Ballot
-    taken: Ballot | None = None
+    accepted: Ballot | None = None
     value: str = ""
 
 
@@ -58,7 +58,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write the record to the disk, in the order of these actions, then report Stored."""
+    """Write the record to disk, in the order of these actions, then report Stored or StoreFailed."""
 
     correlation_id: int
     record: OpenVersion
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer the proposer; None: the disk has failed."""
+    """Reply to the proposer; None: the disk has failed."""
 
     correlation_id: int
     message: Answer | None
@@ -77,57 +77,60 @@
 
 @dataclass(slots=True)
 class Acceptor:
-    """`head`: the last decided version here. `abstain_up_to`: what a lost disk may have held."""
+    """`head`: the last decided version. `abstain_up_to`: no vote on versions up to this one."""
 
     head: int = 0
     abstain_up_to: int = 0
     open: dict[int, OpenVersion] = field(default_factory=dict)
-    _waiting: dict[int, Answer] = field(default_factory=dict)
+    _pending_responses: dict[int, Answer] = field(default_factory=dict)
 
     @property
     def highest_version(self) -> int:
-        """The highest version that this member has taken a value of, or knows to be decided."""
-        taken = (record.version for record in self.open.values() if record.taken is not None)
-        return max(self.head, max(taken, default=0))
+        """The highest version for which this member has accepted a value or that it knows to be decided."""
+        accepted = (record.version for record in self.open.values() if record.accepted is not None)
+        return max(self.head, max(accepted, default=0))
 
     def advance_head(self, head: int) -> None:
-        """All versions up to this one are decided and known here."""
+        """All versions up to `head` are decided and in this member's log."""
         self.head = max(self.head, head)
         for version in [version for version in self.open if version <= self.head]:
             del self.open[version]
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in."""
+        """Process one event."""
         match event:
-            case Asked(request, message):
-                return self._asked(request, message)
-            case Stored(request):
-                answer = self._waiting.pop(request, None)
-                return [] if answer is None else [Reply(request, answer)]
-            case StoreFailed(request):
-                self._waiting.pop(request, None)
-                return [Reply(request, None)]
-
-    def _asked(self, request: int, message: Ask) -> list[Action]:
+            case Asked(correlation_id, message):
+                return self._handle_request(correlation_id, message)
+            case Stored(correlation_id):
+                answer = self._pending_responses.pop(correlation_id, None)
+                return [] if answer is None else [Reply(correlation_id, answer)]
+            case StoreFailed(correlation_id):
+                self._pending_responses.pop(correlation_id, None)
+                return [Reply(correlation_id, None)]
+
+    def _handle_request(self, correlation_id: int, message: Ask) -> list[Action]:
         version = register_version(message.key)
-        if version is None or not self._vouches(version):
-            return [Reply(request, Reject(message.key, message.ballot))]
-        known = self.open.get(version)
-        if known is not None and message.ballot < known.promised:
-            return [Reply(request, Reject(message.key, message.ballot, known.promised))]
+        if version is None or not self._may_vote(version):
+            return [Reply(correlation_id, Reject(message.key, message.ballot))]
+        existing = self.open.get(version)
+        if existing is not None and message.ballot < existing.promised:
+            return [Reply(correlation_id, Reject(message.key, message.ballot, existing.promised))]
         answer: Answer
         if isinstance(message, Prepare):
-            taken, value = (known.taken, known.value) if known is not None else (None, "")
-            record = OpenVersion(version, message.ballot, taken, value)
-            answer = Promise(message.key, message.ballot, taken, value)
+            accepted, value = (existing.accepted, existing.value) if existing is not None else (None, "")
+            record = OpenVersion(version, message.ballot, accepted, value)
+            answer = Promise(message.key, message.ballot, accepted, value)
         else:
             record = OpenVersion(version, message.ballot, message.ballot, message.value)
             answer = Taken(message.key, message.ballot)
         self.open[version] = record
-        self._waiting[request] = answer
-        return [Store(request, record)]
-
-    def _vouches(self, version: int) -> bool:
-        if version <= max(self.head, self.abstain_up_to) or len(self._waiting) >= MAX_WAITING:
+        self._pending_responses[correlation_id] = answer
+        return [Store(correlation_id, record)]
+
+    def _may_vote(self, version: int) -> bool:
+        if (
+            version <= max(self.head, self.abstain_up_to)
+            or len(self._pending_responses) >= MAX_PENDING_REQUESTS
+        ):
             return False
         return version in self.open or len(self.open) < MAX_OPEN_VERSIONS
--- a/foxlift/rollout/agent.py
+++ b/foxlift/rollout/agent.py
@@ -1,16 +1,16 @@
-"""A director's part: follows a relay, puts changes in force, acknowledges by version. No I/O, no clock.
-
-    what a relay tells             what is done
-    steps from this version on     checked as one change; Apply, Persist, and the next watch acknowledges it
-    the same, refused as one       as many of them as are well together are put in force; the next watch names
-                                   the step after those, the key that is refused and the cause
-    steps from another version     not taken: the relay is left for another
-    a digest that differs          not taken; the content is built again from nothing and then put in force
-    pages of a snapshot            gathered; the difference is put in force as one change
-    nothing, or it is silent       the director goes on with what it has
-
-A director's version only ever rises. What it has on its disk is a start, and no more: it is not put in force
-unless its digest is that of its content.
+"""A director's side: polls a relay, applies changes, acknowledges by version. No I/O, no clock.
+
+    response of a relay            what is done
+    steps from this version        checked as one change; Apply, Persist; the next watch acknowledges it
+    the same, the check fails      the most first steps that pass together are applied; the next watch reports
+                                   the step after them, the refused key and the cause
+    steps from another version     ignored; the director switches to another relay
+    a digest that differs          not applied; the content is rebuilt from empty and the difference applied
+    pages of a snapshot            collected; the difference is applied as one change
+    nothing new, or no response    the director keeps its current content
+
+A director's version never decreases. The content on its disk is only a starting point: it is used only if its
+stored digest matches.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Why a director cannot take a change: the key, and what is wrong with it."""
+    """Why a director cannot apply a change: the key and the cause."""
 
     key: str
     cause: str
@@ -40,7 +40,7 @@
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class WatchAnswered:
-    """What the source of this ask has answered; None: nothing that can be read."""
+    """The response to a watch; None: no readable response."""
 
     watch_id: int
     response: WatchResponse | None
@@ -52,7 +52,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Send the watch to a source; its answer comes back as WatchAnswered."""
+    """Send the watch to a source; its response comes back as WatchAnswered."""
 
     watch_id: int
     source: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put a change in force; it was checked. With it the director is at this version."""
+    """Apply a change that passed the check; the director is then at this version."""
 
     version: int
     change: Change
@@ -69,18 +69,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write to the disk what leads to this version; `whole`: the content is another one, write all of it."""
+    """Write the change that leads to this version to disk; `is_full`: write the whole content instead."""
 
     version: int
     change: Change
-    whole: bool
+    is_full: bool
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the log."""
+    """Write a log line; `message` is also the counter's name."""
 
-    what: str
+    message: str
     version: int
     key: str = ""
     cause: str = ""
@@ -91,101 +91,106 @@
 
 @dataclass(slots=True)
 class _Rebuild:
-    """The content built again from nothing: from pages, and then from steps."""
+    """Content that is rebuilt from empty: from snapshot pages, then from steps."""
 
     content: Content
     version: int = 0
-    snapshot: int = 0
-    page: int = 0
+    snapshot_version: int = 0
+    next_page: int = 0
 
 
 class Agent:
-    """One director's. `check` tells whether it can take a change; it changes nothing."""
+    """The agent of one director. `check` returns why a change cannot be applied, and changes nothing."""
 
     def __init__(
         self,
         name: str,
-        run: int,
+        boot_epoch: int,
         relays: tuple[str, ...],
         seed: int,
         check: Check,
         version: int = 0,
         content: Content | None = None,
     ) -> None:
-        """`version`, `content`: what the disk has, and the caller has put in force; changed from here on."""
-        self._name, self._run, self._check = name, run, check
+        """`version`, `content`: read from disk and applied by the caller; the agent updates them."""
+        self._name, self._boot_epoch, self._check = name, boot_epoch, check
         self.version, self.content = version, Content() if content is None else content
         self.refused: Refusal | None = None
-        self._offered = 0  # how far the answer led that was refused
+        self._offered_version = 0  # last version of the response that was refused
         self._watcher = Watcher(name, relays, seed)
         self._rebuild: _Rebuild | None = None
 
     def start(self) -> list[Action]:
-        """Ask the first relay."""
-        return self._watch(self._watcher.start())
+        """Poll the first relay."""
+        return self._convert_actions(self._watcher.start())
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in."""
+        """Process one event."""
         if not isinstance(event, WatchAnswered):
-            return self._watch(self._watcher.handle(event))
+            return self._convert_actions(self._watcher.handle(event))
         if event.response is None:
-            return self._watch(self._watcher.handle(watcher.PollFailed(event.watch_id)))
-        actions, progress = self._take(event.response)
-        return [*actions, *self._watch(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress)))]
+            return self._convert_actions(self._watcher.handle(watcher.PollFailed(event.watch_id)))
+        actions, progress = self._handle_response(event.response)
+        return [
+            *actions,
+            *self._convert_actions(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress))),
+        ]
 
-    def _watch(self, actions: list[watcher.Action]) -> list[Action]:
+    def _convert_actions(self, actions: list[watcher.Action]) -> list[Action]:
         return [
-            SendWatch(action.watch_id, action.source, self._message())
+            SendWatch(action.watch_id, action.source, self._watch_message())
             if isinstance(action, watcher.PollSource)
             else action
             for action in actions
         ]
 
-    def _message(self) -> DirectorWatch:
+    def _watch_message(self) -> DirectorWatch:
         rebuild = self._rebuild
         if rebuild is None:
-            return DirectorWatch(self._name, self._run, self.version, self.refused, self._offered)
+            return DirectorWatch(
+                self._name, self._boot_epoch, self.version, self.refused, self._offered_version
+            )
         return DirectorWatch(
             self._name,
-            self._run,
+            self._boot_epoch,
             self.version,
             start=rebuild.version,
-            snapshot=rebuild.snapshot,
-            page=rebuild.page,
+            snapshot=rebuild.snapshot_version,
+            page=rebuild.next_page,
         )
 
-    # ---- Answers ------------------------------------------------------------------------------------------
-    def _take(self, answer: WatchResponse) -> tuple[list[Action], Progress]:
-        match answer:
+    # ---- Responses ----------------------------------------------------------------------------------------
+    def _handle_response(self, response: WatchResponse) -> tuple[list[Action], Progress]:
+        match response:
             case Steps(head, steps):
-                return self._take_steps(head, steps)
+                return self._handle_steps(head, steps)
             case Page(page):
-                return self._take_page(page)
+                return self._handle_page(page)
             case Entries():
-                return [], Progress.UNUSABLE  # an answer for a relay
+                return [], Progress.UNUSABLE  # a response meant for a relay
 
-    def _take_steps(self, head: int, steps: tuple[Step, ...]) -> tuple[list[Action], Progress]:
+    def _handle_steps(self, head: int, steps: tuple[Step, ...]) -> tuple[list[Action], Progress]:
         if not steps:
             is_behind = head < self.version
             return [], Progress.UNUSABLE if is_behind else Progress.UNCHANGED
-        if not _follow(self._rebuild.version if self._rebuild else self.version, steps):
+        if not _is_chain(self._rebuild.version if self._rebuild else self.version, steps):
             return [], Progress.UNUSABLE
         if self._rebuild is not None:
-            return self._rebuild_by_steps(self._rebuild, steps)
-        whole = merge(step.change for step in steps)
-        if self.content.digest_after(whole) != steps[-1].digest:
+            return self._rebuild_from_steps(self._rebuild, steps)
+        merged = merge(step.change for step in steps)
+        if self.content.digest_after(merged) != steps[-1].digest:
             self._rebuild = _Rebuild(Content())
             return [WriteLog("content differs, built again", self.version)], Progress.ADVANCED
-        if self._check(whole) is None:
-            return self._put_in_force(steps[-1].version, whole), Progress.ADVANCED
-        return self._take_until_refused(steps), Progress.ADVANCED
+        if self._check(merged) is None:
+            return self._apply(steps[-1].version, merged), Progress.ADVANCED
+        return self._apply_until_refused(steps), Progress.ADVANCED
 
-    def _take_until_refused(self, steps: tuple[Step, ...]) -> list[Action]:
+    def _apply_until_refused(self, steps: tuple[Step, ...]) -> list[Action]:
         actions: list[Action] = []
         for count in range(len(steps) - 1, 0, -1):
-            together = merge(step.change for step in steps[:count])
-            if self._check(together) is None:
-                actions += self._put_in_force(steps[count - 1].version, together)
+            merged = merge(step.change for step in steps[:count])
+            if self._check(merged) is None:
+                actions += self._apply(steps[count - 1].version, merged)
                 steps = steps[count:]
                 break
         first = merge(step.change for step in steps[:1])
@@ -193,35 +198,41 @@
         assert problem is not None
         return [*actions, self._refuse(steps[0].version, steps[-1].version, problem)]
 
-    def _put_in_force(self, version: int, change: Change, whole: bool = False) -> list[Action]:
+    def _apply(self, version: int, change: Change, is_full: bool = False) -> list[Action]:
         self.content.apply(change)
-        self.version, self.refused, self._offered = version, None, 0
-        return [Apply(version, change), Persist(version, change, whole)]
+        self.version, self.refused, self._offered_version = version, None, 0
+        return [Apply(version, change), Persist(version, change, is_full)]
 
     def _refuse(self, version: int, offered: int, problem: Problem) -> WriteLog:
         self.refused = Refusal(version, problem.key, problem.cause[:500])
-        self._offered = offered
+        self._offered_version = offered
         return WriteLog("change refused", version, problem.key, problem.cause)
 
-    # ---- Building the content again -----------------------------------------------------------------------
-    def _take_page(self, page: SnapshotPage) -> tuple[list[Action], Progress]:
+    # ---- Rebuilding the content ---------------------------------------------------------------------------
+    def _handle_page(self, page: SnapshotPage) -> tuple[list[Action], Progress]:
         rebuild = self._rebuild
-        begun = rebuild is not None and rebuild.snapshot == page.version and rebuild.page == page.page
+        is_next_page = (
+            rebuild is not None
+            and rebuild.snapshot_version == page.version
+            and rebuild.next_page == page.page
+        )
         if page.page == 0:
-            rebuild = self._rebuild = _Rebuild(Content(), snapshot=page.version)
-        elif rebuild is None or not begun:
+            rebuild = self._rebuild = _Rebuild(Content(), snapshot_version=page.version)
+        elif rebuild is None or not is_next_page:
             self._rebuild = _Rebuild(Content())
             return [], Progress.UNUSABLE
         rebuild.content.apply(Change(page.values))
-        rebuild.page += 1
+        rebuild.next_page += 1
         if not page.last:
             return [], Progress.ADVANCED
         if rebuild.content.digest != page.digest or page.version < self.version:
             self._rebuild = _Rebuild(Content()) if rebuild.content.digest != page.digest else None
             return [], Progress.UNUSABLE
-        return self._rebuilt(rebuild.content, page.version), Progress.ADVANCED
+        return self._finish_rebuild(rebuild.content, page.version), Progress.ADVANCED
 
-    def _rebuild_by_steps(self, rebuild: _Rebuild, steps: tuple[Step, ...]) -> tuple[list[Action], Progress]:
+    def _rebuild_from_steps(
+        self, rebuild: _Rebuild, steps: tuple[Step, ...]
+    ) -> tuple[list[Action], Progress]:
         for step in steps:
             rebuild.content.apply(step.change)
             if rebuild.content.digest != step.digest:
@@ -230,20 +241,20 @@
             rebuild.version = step.version
         if rebuild.version < self.version:
             return [], Progress.ADVANCED
-        return self._rebuilt(rebuild.content, rebuild.version), Progress.ADVANCED
+        return self._finish_rebuild(rebuild.content, rebuild.version), Progress.ADVANCED
 
-    def _rebuilt(self, content: Content, version: int) -> list[Action]:
-        """Put the difference in force, as one change."""
+    def _finish_rebuild(self, content: Content, version: int) -> list[Action]:
+        """Apply the difference to the current content as one change."""
         self._rebuild = None
         change = difference(self.content.values, content.values)
         problem = self._check(change)
         if problem is not None:
             return [self._refuse(version, version, problem)]
-        return self._put_in_force(version, change, whole=True)
+        return self._apply(version, change, is_full=True)
 
 
-def _follow(version: int, steps: tuple[Step, ...]) -> bool:
-    """Whether the steps lead on from a version, each from the one before."""
+def _is_chain(version: int, steps: tuple[Step, ...]) -> bool:
+    """Whether the steps form a chain that starts at `version`."""
     for step in steps:
         if step.after != version or step.version <= step.after:
             return False
@@ -252,6 +263,6 @@
 
 
 def difference(before: Mapping[str, str], after: Mapping[str, str]) -> Change:
-    """The change that makes one content of another."""
+    """The change that turns `before` into `after`."""
     puts = {key: value for key, value in after.items() if before.get(key) != value}
     return Change(puts, tuple(key for key in before if key not in after))
--- a/foxlift/rollout/content.py
+++ b/foxlift/rollout/content.py
@@ -1,8 +1,8 @@
-"""The configuration at one version: a map with a digest that is kept up change by change.
+"""The configuration at one version: a map with an incrementally updated digest.
 
-The digest is the sum, modulo 2^128, of a keyed hash of each key and value (an additive multiset hash, Clarke
-and others, 2003): the same for the same map whatever the way to it, and worked out anew in time proportional
-to the change. It tells accidents apart, not adversaries.
+The digest is the sum, modulo 2^128, of a hash of each key and value (an additive multiset hash, Clarke and
+others, 2003). It depends only on the map, not on the order of changes; updating it takes time proportional to
+the change. It detects accidental differences and does not protect against an adversary.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
     @property
     def digest(self) -> str:
-        """Hexadecimal; the same for the same map."""
+        """Hexadecimal; equal for equal maps."""
         return format(self._sum, f"0{2 * DIGEST_BYTES}x")
 
     def digest_after(self, change: Change) -> str:
-        """The digest that this map would have after a change."""
+        """The digest that the map would have after the change."""
         return format(self._sum_after(change), f"0{2 * DIGEST_BYTES}x")
 
     def apply(self, change: Change) -> Change:
-        """Take a change in; gives back the change that undoes it."""
+        """Apply a change and return the change that undoes it."""
         undo = self.inverse_of(change)
         self._sum = self._sum_after(change)
         self.values.update(change.puts)
@@ -46,7 +46,7 @@
         return undo
 
     def inverse_of(self, change: Change) -> Change:
-        """What would bring this map back after a change."""
+        """The change that undoes `change` once it is applied."""
         keys = _keys_of(change)
         puts = {key: self.values[key] for key in keys if key in self.values}
         return Change(puts, tuple(key for key in keys if key not in self.values))
@@ -66,7 +66,7 @@
 
 
 def merge(changes: Iterable[Change]) -> Change:
-    """One change with the effect of all of them, one after the other."""
+    """One change with the same effect as applying all of them in order."""
     puts: dict[str, str] = {}
     removes: dict[str, None] = {}
     for change in changes:
--- a/foxlift/rollout/entry.py
+++ b/foxlift/rollout/entry.py
@@ -1,6 +1,6 @@
-"""One version of the configuration: what it sets and removes, and up to where the fleet may go.
+"""One entry of the configuration log: the keys it sets and removes, and the version that it releases.
 
-The content is a flat map. A key names a kind and a thing (`titles/t1`), a value is a JSON text.
+The content is a flat map. A key consists of a kind and a name (`titles/t1`); a value is JSON text.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 MAX_KEY_CHARS = 200
 MAX_VALUE_CHARS = 8_000
-MAX_KEYS = 100  # that one entry sets or removes
-MAX_ENTRY_CHARS = 16_000  # of an entry as it is written: what one register holds
+MAX_KEYS = 100  # set, and as many removed, by one entry
+MAX_ENTRY_CHARS = 16_000  # of an encoded entry, which has to fit into one register
 
 Key = Annotated[str, Meta(max_length=MAX_KEY_CHARS, pattern=r"^[a-z][a-z-]*/[A-Za-z0-9._-]+$")]
 Value = Annotated[str, Meta(max_length=MAX_VALUE_CHARS)]
@@ -25,24 +25,24 @@
 
 
 class Change(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """Keys to set and to remove, all at once."""
+    """Keys to set and to remove in one step."""
 
     puts: Annotated[dict[Key, Value], Meta(max_length=MAX_KEYS)] = {}
     removes: Annotated[tuple[Key, ...], Meta(max_length=MAX_KEYS)] = ()
 
     @property
     def is_empty(self) -> bool:
-        """Whether the content stays as it is."""
+        """Whether the change sets and removes nothing."""
         return not (self.puts or self.removes)
 
 
 class Entry(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one version of the log holds.
+    """The entry of one version of the log.
 
-    `request` names the order that it carries out, so that an order that comes twice is one entry. `reverts`:
-    the version that it takes back, 0 for none. `released`: every version up to this one is for the whole
-    fleet, 0 where it says nothing of that. `digest`: of the content after it. `at`: Unix ms by the author's
-    clock, for people: nothing is decided by it.
+    `request_id`: of the change request that the entry carries out; a repeated request adds no second entry.
+    `reverts`: the version that the entry reverts, 0 for none. `released`: the whole fleet may apply all
+    versions up to this one, 0 if the entry releases nothing. `digest`: of the content after the entry.
+    `created_at_ms`: Unix ms by the author's clock, informational only.
     """
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
@@ -52,33 +52,33 @@
     reverts: Version = 0
     released: Version = 0
     reason: Reason = ""
-    at: int = 0
+    created_at_ms: int = msgspec.field(default=0, name="at")
     digest: Digest = ""
 
     def encode(self) -> str:
-        """The entry as a register holds it."""
+        """The JSON text that the register stores."""
         return msgspec.json.encode(self).decode()
 
 
 class EntryError(ValueError):
-    """A change or an entry that cannot be taken, and why."""
+    """A change or an entry is invalid."""
 
 
 def decode_entry(text: str) -> Entry:
-    """Raises EntryError for what cannot be read."""
+    """Decode an entry's JSON text. Raises EntryError if it is malformed."""
     try:
         return msgspec.json.decode(text, type=Entry)
     except msgspec.MsgspecError as error:
-        raise EntryError(f"an entry that cannot be read: {error}") from error
+        raise EntryError(f"malformed entry: {error}") from error
 
 
 def check_change(change: Change) -> None:
-    """Raises EntryError for a change that no entry may hold. The types' own bounds are taken to hold."""
+    """Raises EntryError for a change that no entry may hold. Limits in the types are checked at decoding."""
     if change.is_empty:
         raise EntryError("the change sets nothing and removes nothing")
-    twice = sorted(change.puts.keys() & set(change.removes))
-    if twice:
-        raise EntryError(f"{twice[0]}: set and removed by one change")
+    conflicting = sorted(change.puts.keys() & set(change.removes))
+    if conflicting:
+        raise EntryError(f"{conflicting[0]}: set and removed by the same change")
     for key, value in change.puts.items():
         try:
             msgspec.json.decode(value)
@@ -86,4 +86,4 @@
             raise EntryError(f"{key}: not JSON: {error}") from error
     length = len(msgspec.json.encode(change))
     if length > MAX_ENTRY_CHARS // 2:
-        raise EntryError(f"a change of {length} bytes; {MAX_ENTRY_CHARS // 2} are allowed")
+        raise EntryError(f"change of {length} bytes; {MAX_ENTRY_CHARS // 2} are allowed")
--- a/foxlift/rollout/follower.py
+++ b/foxlift/rollout/follower.py
@@ -1,7 +1,8 @@
-"""A control server's side of the watch: brings its own log up to that of another. No I/O, no clock.
+"""Replicates another control server's log into this server's own. No I/O, no clock.
 
-Entries are appended one by one; one that does not follow, or whose digest differs, is not taken, and the
-source is left for another. A snapshot is taken only as a whole, and only where it is ahead of the log.
+Entries are appended one at a time. An entry that is not the next one or whose digest differs is rejected, and
+the follower switches to another source. A snapshot is used only once it is complete, and only if it is ahead
+of the log.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchAnswered:
-    """What the source of this ask has answered; None: nothing that can be read."""
+    """The response to a watch; None: no readable response."""
 
     watch_id: int
     response: WatchResponse | None
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Send the watch to a source; its answer comes back as WatchAnswered."""
+    """Send the watch to a source; its response comes back as WatchAnswered."""
 
     watch_id: int
     source: str
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogAdvanced:
-    """The log has grown: by entries after `after`, or with `restored` it begins at another snapshot."""
+    """The log now has entries after `after`; with `restored` it starts at a newer snapshot instead."""
 
     after: int
     restored: bool = False
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceMismatch:
-    """What a source told does not fit the log."""
+    """Entries or a snapshot of a source are inconsistent with the log."""
 
     source: str
     detail: str
@@ -56,29 +57,36 @@
 
 
 class Follower:
-    """One watch of one or several sources."""
+    """Follows one source at a time, of one or several."""
 
-    def __init__(self, name: str, run: int, sources: tuple[str, ...], seed: int, log: ConfigLog) -> None:
-        self._name, self._run, self._log = name, run, log
+    def __init__(
+        self, name: str, boot_epoch: int, sources: tuple[str, ...], seed: int, log: ConfigLog
+    ) -> None:
+        self._name, self._boot_epoch, self._log = name, boot_epoch, log
         self._watcher = Watcher(name, sources, seed)
-        self._snapshot, self._page = 0, 0
-        self._gathered = Content()
+        self._snapshot_version, self._next_page = 0, 0
+        self._snapshot_content = Content()
 
     def start(self) -> list[Action]:
-        """Ask the first source."""
-        return self._watch(self._watcher.start())
+        """Poll the first source."""
+        return self._convert_actions(self._watcher.start())
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in."""
+        """Process one event."""
         if not isinstance(event, WatchAnswered):
-            return self._watch(self._watcher.handle(event))
+            return self._convert_actions(self._watcher.handle(event))
         if event.response is None:
-            return self._watch(self._watcher.handle(watcher.PollFailed(event.watch_id)))
-        actions, progress = self._take(event.response)
-        return [*actions, *self._watch(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress)))]
+            return self._convert_actions(self._watcher.handle(watcher.PollFailed(event.watch_id)))
+        actions, progress = self._handle_response(event.response)
+        return [
+            *actions,
+            *self._convert_actions(self._watcher.handle(watcher.PollAnswered(event.watch_id, progress))),
+        ]
 
-    def _watch(self, actions: list[watcher.Action]) -> list[Action]:
-        message = RelayWatch(self._name, self._run, self._log.head, self._snapshot, self._page)
+    def _convert_actions(self, actions: list[watcher.Action]) -> list[Action]:
+        message = RelayWatch(
+            self._name, self._boot_epoch, self._log.head, self._snapshot_version, self._next_page
+        )
         return [
             SendWatch(action.watch_id, action.source, message)
             if isinstance(action, watcher.PollSource)
@@ -86,44 +94,46 @@
             for action in actions
         ]
 
-    def _take(self, answer: WatchResponse) -> tuple[list[Action], Progress]:
-        match answer:
+    def _handle_response(self, response: WatchResponse) -> tuple[list[Action], Progress]:
+        match response:
             case Entries(head, entries) if not entries:
                 return [], Progress.UNUSABLE if head < self._log.head else Progress.UNCHANGED
             case Entries(_, entries):
-                return self._take_entries(answer)
+                return self._handle_entries(response)
             case Page():
-                return self._take_page(answer)
+                return self._handle_page(response)
             case Steps():
-                return [], Progress.UNUSABLE  # an answer for a director
+                return [], Progress.UNUSABLE  # a response meant for a director
 
-    def _take_entries(self, answer: Entries) -> tuple[list[Action], Progress]:
+    def _handle_entries(self, response: Entries) -> tuple[list[Action], Progress]:
         before = self._log.head
         try:
-            for entry in answer.entries:
+            for entry in response.entries:
                 self._log.append(entry)
         except EntryError as error:
-            grown: list[Action] = [LogAdvanced(before)] if self._log.head > before else []
-            return [*grown, SourceMismatch(self._watcher.source, str(error))], Progress.UNUSABLE
+            actions: list[Action] = [LogAdvanced(before)] if self._log.head > before else []
+            return [*actions, SourceMismatch(self._watcher.source, str(error))], Progress.UNUSABLE
         return [LogAdvanced(before)] if self._log.head > before else [], Progress.ADVANCED
 
-    def _take_page(self, answer: Page) -> tuple[list[Action], Progress]:
-        page = answer.page
+    def _handle_page(self, response: Page) -> tuple[list[Action], Progress]:
+        page = response.page
         if page.page == 0:
-            self._gathered, self._snapshot, self._page = Content(), page.version, 0
-        elif (page.version, page.page) != (self._snapshot, self._page):
-            self._snapshot, self._page = 0, 0
+            self._snapshot_content, self._snapshot_version, self._next_page = Content(), page.version, 0
+        elif (page.version, page.page) != (self._snapshot_version, self._next_page):
+            self._snapshot_version, self._next_page = 0, 0
             return [], Progress.UNUSABLE
-        self._gathered.apply(Change(page.values))
-        self._page += 1
+        self._snapshot_content.apply(Change(page.values))
+        self._next_page += 1
         if not page.last:
             return [], Progress.ADVANCED
-        gathered, self._gathered = self._gathered, Content()
-        self._snapshot, self._page = 0, 0
-        if gathered.digest != page.digest or page.version <= self._log.head:
+        content, self._snapshot_content = self._snapshot_content, Content()
+        self._snapshot_version, self._next_page = 0, 0
+        if content.digest != page.digest or page.version <= self._log.head:
             return [
-                SourceMismatch(self._watcher.source, f"snapshot of version {page.version}")
+                SourceMismatch(
+                    self._watcher.source, f"snapshot of version {page.version}, own head {self._log.head}"
+                )
             ], Progress.UNUSABLE
         before = self._log.head
-        self._log.restore(page.version, gathered.values, answer.requests)
+        self._log.restore(page.version, content.values, response.requests)
         return [LogAdvanced(before, restored=True)], Progress.ADVANCED
--- a/foxlift/rollout/group.py
+++ b/foxlift/rollout/group.py
@@ -1,8 +1,9 @@
-"""A member of the group of control servers: acceptor, proposer, and whoever leads judges releases. No I/O.
+"""A member of the group of control servers: acceptor, proposer and, on the leader, release policy. No I/O.
 
-Every member may put entries into the log. The first of the group that is alive, as a member sees it, leads:
-it releases and reverts changes. Two members that both take themselves for the leader cost a round, and
-nothing else: the log holds each decision once. What an author left half done when it died, any finishes.
+Every member may propose log entries. The leader is the first member of the configured list that is alive, as
+far as this member knows; it releases and reverts changes. Two members that both consider themselves leader
+only cost an extra consensus round: each decision has a fixed request id and enters the log once. A proposal
+that its author left unfinished is completed by any other member.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from foxlift.rollout.proposer import EntryDecided, Proposal, ProposalFinished, Proposer
 from foxlift.rollout.release import Release, ReleasePolicy, Revert
 
-ALIVE_MS = 2000.0  # a member that was heard so long ago does not lead
-ORPHAN_MS = 1000.0  # a value that was taken, and not known to be decided for so long, is finished
-INTERNAL = "_"  # how requests of the group's own begin
+MEMBER_TIMEOUT_MS = 2000.0  # without a heartbeat for so long a member counts as down
+ORPHAN_TIMEOUT_MS = 1000.0  # an accepted value is proposed again if it is not decided within this time
+INTERNAL_PREFIX = "_"  # prefix of request ids that the group itself creates
 
 Action = (
     ProposalFinished | EntryDecided | acceptor.Store | acceptor.Reply | registers.Send | registers.StartTimer
@@ -27,7 +28,7 @@
 
 
 class GroupMember:
-    """One member. `trusted` says whether its disk is the one that it had before."""
+    """One member of the group."""
 
     def __init__(
         self, name: str, boot_epoch: int, members: tuple[str, ...], log: ConfigLog, seed: int
@@ -36,87 +37,93 @@
         self.acceptor = Acceptor(log.head)
         self.release_policy = ReleasePolicy()
         self._proposer = Proposer(name, boot_epoch, members, log, seed)
-        self._heard: dict[str, float] = {}
+        self._last_contact_at: dict[str, float] = {}
         self._heads: dict[str, int] = {}
-        self._orphan: tuple[int, float] = (0, 0.0)  # a version with a value taken, and since when
+        self._orphan_since: tuple[int, float] = (0, 0.0)  # version with an accepted value, and since when
 
-    # ---- Who is there -------------------------------------------------------------------------------------
+    # ---- Members ------------------------------------------------------------------------------------------
     def is_leader(self, now: float) -> bool:
-        """Whether no member before this one was heard lately."""
+        """Whether all members before this one in the list are down."""
         for member in self._members:
             if member == self.name:
                 return True
-            if now - self._heard.get(member, -math.inf) < ALIVE_MS:
+            if now - self._last_contact_at.get(member, -math.inf) < MEMBER_TIMEOUT_MS:
                 return False
         return False
 
     def alive_members(self, now: float) -> list[str]:
-        """Members that were heard lately, this one among them."""
-        return [m for m in self._members if m == self.name or now - self._heard.get(m, -math.inf) < ALIVE_MS]
+        """Members with a recent heartbeat, and this one."""
+        return [
+            m
+            for m in self._members
+            if m == self.name or now - self._last_contact_at.get(m, -math.inf) < MEMBER_TIMEOUT_MS
+        ]
 
     def handle_heartbeat(self, now: float, beat: Heartbeat) -> None:
-        """Another member is alive."""
+        """Record another member's heartbeat."""
         if beat.sender in self._members and beat.sender != self.name:
-            self._heard[beat.sender] = now
+            self._last_contact_at[beat.sender] = now
             self._heads[beat.sender] = beat.head
 
     def handle_report(self, now: float, report: Report) -> None:
-        """A relay reports."""
+        """Record a relay's report."""
         self.release_policy.record_report(now, report)
 
-    # ---- Orders -------------------------------------------------------------------------------------------
+    # ---- Change requests ----------------------------------------------------------------------------------
     def request_change(self, now: float, correlation_id: int, request: ChangeRequest) -> list[Action]:
         """An operator's order; ProposalFinished tells what became of it."""
-        if request.request_id.startswith(INTERNAL):
-            return [_refused(correlation_id, f"request: must not begin with {INTERNAL}")]
+        if request.request_id.startswith(INTERNAL_PREFIX):
+            return [_refused(correlation_id, f"request: must not begin with {INTERNAL_PREFIX}")]
         if request.withdraw and not request.change.is_empty:
-            return [_refused(correlation_id, "an order either changes or withdraws")]
+            return [
+                _refused(correlation_id, "a request either changes keys or withdraws a version, not both")
+            ]
         proposal = Proposal(correlation_id, request.request_id, request.change, withdraw=request.withdraw)
         return list(self._proposer.propose(now, proposal))
 
     def handle_register_event(self, now: float, event: registers.ChangeProgress) -> list[Action]:
-        """Something came of a register that this member changes."""
+        """Process progress of a register that this member is changing."""
         return list(self._proposer.handle(now, event))
 
     def handle_acceptor_event(self, event: acceptor.Event) -> list[Action]:
-        """Another proposer's message, or word of the disk."""
+        """Process another proposer's message or the result of a disk write."""
         return list(self.acceptor.handle(event))
 
     def handle_log_advanced(self, now: float) -> list[Action]:
-        """The log has grown."""
+        """The log has new entries."""
         self.acceptor.advance_head(self._log.head)
         return list(self._proposer.advance(now))
 
     # ---- Time ---------------------------------------------------------------------------------------------
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
-        actions: list[Action] = [*self._proposer.advance(now), *self._repair(now)]
+        """Process a timer tick."""
+        actions: list[Action] = [*self._proposer.advance(now), *self._finish_orphan(now)]
         if not self.is_leader(now):
             return actions
         match self.release_policy.decide(now, self._log):
             case Release(version):
-                proposal = Proposal(0, f"{INTERNAL}release.{version}", release=version)
+                proposal = Proposal(0, f"{INTERNAL_PREFIX}release.{version}", release=version)
             case Revert(version, reason):
-                proposal = Proposal(0, f"{INTERNAL}revert.{version}", withdraw=version, reason=reason)
+                proposal = Proposal(0, f"{INTERNAL_PREFIX}revert.{version}", withdraw=version, reason=reason)
             case None:
                 return actions
         if self._proposer.is_pending(proposal.request_id):
             return actions
         return [*actions, *self._proposer.propose(now, proposal, first=True)]
 
-    def _repair(self, now: float) -> list[Action]:
-        """Finish a version that somebody began and that nobody has ended; members one after the other."""
-        wait_ms = ORPHAN_MS * (1 + self._members.index(self.name))
+    def _finish_orphan(self, now: float) -> list[Action]:
+        """Complete a version that its author left unfinished; later members wait longer."""
+        wait_ms = ORPHAN_TIMEOUT_MS * (1 + self._members.index(self.name))
         version = self._log.head + 1
-        begun = version in self.acceptor.open and self.acceptor.open[version].taken is not None
-        if not begun:
-            self._orphan = (0, 0.0)
-        elif self._orphan[0] != version:
-            self._orphan = (version, now)
-        elif now - self._orphan[1] >= wait_ms and self._proposer.is_idle:
-            self._orphan = (version, now)
-            repair = Proposal(0, f"{INTERNAL}repair.{version}", repair=True)
-            return list(self._proposer.propose(now, repair))
+        is_accepted = version in self.acceptor.open and self.acceptor.open[version].accepted is not None
+        if not is_accepted:
+            self._orphan_since = (0, 0.0)
+        elif self._orphan_since[0] != version:
+            self._orphan_since = (version, now)
+        elif now - self._orphan_since[1] >= wait_ms and self._proposer.is_idle:
+            self._orphan_since = (version, now)
+            proposal = Proposal(0, f"{INTERNAL_PREFIX}repair.{version}", repair=True)
+            return list(self._proposer.propose(now, proposal))
         return []
 
 
--- a/foxlift/rollout/kinds.py
+++ b/foxlift/rollout/kinds.py
@@ -1,8 +1,8 @@
-"""The kinds of things that a configuration holds, and the form of each kind's values.
+"""The kinds of configuration keys, and the schema of each kind's values.
 
-A change is held against these forms where it is put in, by the operator's command and again by the group
-member that takes the order. What only a director can know (whether a manifest is there, whether a title
-fits the fleet's cells) each director checks for itself.
+The operator's command checks a change against these schemas, and so does the group member that receives the
+request. What only a director can know (whether a manifest exists, whether a title fits the fleet's cells) is
+checked by each director.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
 
 
 class TitleValue(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """A title: `holders` cells in a row from `first_cell`; its manifest's file in the catalogue folder."""
+    """A title, held by `holders` cells in a row from `first_cell`. `manifest`: in the catalogue folder."""
 
     first_cell: Annotated[int, Meta(ge=0, le=1_000_000)]
     holders: Annotated[int, Meta(ge=1, le=1_000_000)]
     manifest: Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[A-Za-z0-9._-]+$")]
 
 
-# None for a title: it is not offered, though the catalogue's file names it
-FORMS = {TITLES: msgspec.json.Decoder(TitleValue | None)}
+# null withdraws a title even if the catalogue file lists it
+DECODERS = {TITLES: msgspec.json.Decoder(TitleValue | None)}
 
 
 def kind_of(key: str) -> str:
-    """The kind of thing that a key names."""
+    """The kind part of a key."""
     return key.partition("/")[0]
 
 
 def name_of(key: str) -> str:
-    """The name of the thing that a key names."""
+    """The name part of a key."""
     return key.partition("/")[2]
 
 
 def read_title(key: str, value: str) -> TitleValue | None:
-    """A title's value; None: not offered. Raises EntryError, which names key and field."""
+    """Decode a title's value; None: withdrawn. Raises EntryError that names key and field."""
     try:
-        return FORMS[TITLES].decode(value)
+        return DECODERS[TITLES].decode(value)
     except msgspec.MsgspecError as error:
         raise EntryError(f"{key}: {error}") from error
 
 
 def check_values(change: Change) -> None:
-    """Raises EntryError for a key of an unknown kind, or a value that has not its kind's form."""
+    """Raises EntryError for a key of an unknown kind or a value that does not match its kind's schema."""
     for key in (*change.puts, *change.removes):
-        if kind_of(key) not in FORMS:
-            raise EntryError(f"{key}: no such kind; known: {', '.join(sorted(FORMS))}")
+        if kind_of(key) not in DECODERS:
+            raise EntryError(f"{key}: no such kind; known: {', '.join(sorted(DECODERS))}")
     for key, value in change.puts.items():
         try:
-            FORMS[kind_of(key)].decode(value)
+            DECODERS[kind_of(key)].decode(value)
         except msgspec.MsgspecError as error:
             raise EntryError(f"{key}: {error}") from error
--- a/foxlift/rollout/log.py
+++ b/foxlift/rollout/log.py
@@ -1,8 +1,8 @@
-"""The numbered log of changes, as a control server holds it, and what brings a follower up to date.
+"""The numbered log of changes in a control server, and the steps or snapshots that update a follower.
 
-The latest `kept` entries are held as they are; before them stands the content alone. Everybody who has the
-same version has the same content: an entry that does not follow, or after which the digest differs from its
-own, is not taken.
+The log keeps the latest `max_entries` entries; of the older ones it keeps only the resulting content. Equal
+versions mean equal content: an entry that is not the next one, or whose digest does not match the resulting
+content, is rejected.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from foxlift.rollout.content import Content, merge
 from foxlift.rollout.entry import Change, Digest, Entry, EntryError, Key, Value, Version
 
-MAX_ENTRIES = 16_384  # some hours of changes: a region that was cut off for one comes back by entries
-MAX_REQUESTS = 16_384  # orders whose repetition is recognised, the latest
-MAX_SINGLE_STEPS = 32  # so many versions are told one by one, so that a refusal names one of them
-PAGE_CHARS = 48_000  # of keys and values in one page of a snapshot, or of a merged step
+MAX_ENTRIES = 16_384  # some hours of changes: a region disconnected for an hour catches up by entries
+MAX_REQUESTS = 16_384  # latest request ids for which a repetition is recognised
+MAX_SINGLE_STEPS = 32  # the latest versions are sent one by one, so that a refusal names one version
+PAGE_CHARS = 48_000  # a page of a snapshot or a merged step is complete once it holds this many
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What leads from the content of one version to that of a later one."""
+    """The change from the content of one version to that of a later one."""
 
     after: Version
     version: Version
@@ -32,7 +32,7 @@
 
 
 class SnapshotPage(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A part of the content of one version, keys in order. `last`: no page follows."""
+    """A part of the content of one version, sorted by key. `last`: no page follows."""
 
     version: Version
     digest: Digest
@@ -42,28 +42,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Revert:
-    """A version that another one has taken back."""
+class RevertedVersion:
+    """A version and the later version that reverts it."""
 
     version: int
-    by: int
+    reverted_by: int
 
 
 class ConfigLog:
-    """Entries of versions above `base`; contents at `base` (`floor`), `released` (`fleet`) and `head`."""
+    """Entries above version `base`, and the contents at `base`, `released` and `head`."""
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
         self._max_entries = max_entries
         self.base = self.head = self.released = 0
         self.content, self.released_content, self.base_content = Content(), Content(), Content()
         self.entries: deque[Entry] = deque()
-        self.requests: dict[str, int] = {}  # orders that were carried out, with their version
-        self._undo: dict[int, Change] = {}  # by version, of those kept
-        self._reverts: list[Revert] = []  # whose later version is kept
+        self.requests: dict[str, int] = {}  # committed request ids, with their version
+        self._undo: dict[int, Change] = {}  # inverse changes by version, for the kept entries
+        self._reverts: list[RevertedVersion] = []  # those whose reverting version is kept
         self._snapshot: tuple[SnapshotPage, ...] = ()
 
     def append(self, entry: Entry) -> bool:
-        """Take the next entry in; False for one that is here already. Raises EntryError for any other."""
+        """Append the next entry; False if the log has it already. Raises EntryError for any other."""
         if entry.version <= self.head:
             return False
         if entry.version != self.head + 1:
@@ -76,14 +76,14 @@
         self.entries.append(entry)
         self.head = entry.version
         if entry.reverts:
-            self._reverts.append(Revert(entry.reverts, entry.version))
+            self._reverts.append(RevertedVersion(entry.reverts, entry.version))
         self._record_request(entry.request_id, entry.version)
         self._release(entry.released)
-        self._compact()
+        self._drop_old_entries()
         return True
 
     def restore(self, version: int, values: Mapping[str, str], requests: Mapping[str, int]) -> None:
-        """Begin at a snapshot: the content of a released version."""
+        """Restart the log from a snapshot, which is the content of a released version."""
         self.base = self.head = self.released = version
         self.content, self.released_content, self.base_content = (
             Content(values),
@@ -108,31 +108,31 @@
             self.released_content.apply(entry.change)
         self.released = released
 
-    def _compact(self) -> None:
+    def _drop_old_entries(self) -> None:
         while len(self.entries) > self._max_entries and self.base < self.released:
             entry = self.entries.popleft()
             self.base = entry.version
             self.base_content.apply(entry.change)
             self._undo.pop(entry.version, None)
-        if self._reverts and self._reverts[0].by <= self.base:
-            self._reverts = [revert for revert in self._reverts if revert.by > self.base]
+        if self._reverts and self._reverts[0].reverted_by <= self.base:
+            self._reverts = [revert for revert in self._reverts if revert.reverted_by > self.base]
 
-    # ---- What is known ------------------------------------------------------------------------------------
+    # ---- Queries ------------------------------------------------------------------------------------------
     def entry(self, version: int) -> Entry | None:
-        """The entry of a version that is kept."""
-        place = version - self.base - 1
-        return self.entries[place] if 0 <= place < len(self.entries) else None
+        """The entry of a version; None if it is not kept."""
+        index = version - self.base - 1
+        return self.entries[index] if 0 <= index < len(self.entries) else None
 
     def between(self, after: int, version: int) -> list[Entry]:
-        """The kept entries after one version, up to another."""
+        """The kept entries after version `after`, up to and including `version`."""
         first = max(after, self.base) + 1
         found = (self.entry(number) for number in range(first, version + 1))
         return [entry for entry in found if entry is not None]
 
     def last_change(self, up_to: int) -> int:
-        """The latest version up to one that is for directors; `base` where none that is kept is.
+        """The latest version up to `up_to` that matters to directors; `base` if no kept one does.
 
-        One that takes another back is for them even where it changes nothing: after it that other is over.
+        A revert matters even if it changes no key: it ends the reverted version.
         """
         for number in range(min(up_to, self.head), self.base, -1):
             entry = self.entry(number)
@@ -141,39 +141,41 @@
         return min(self.base, up_to)
 
     def last_writer(self, key: str, up_to: int) -> int:
-        """The version whose word on a key held at another version; 0 where it is none that is kept.
+        """The version that last wrote a key, as of version `up_to`; 0 if it is not kept.
 
-        What was reverted does not count, nor does its revert: that gives back the word of an earlier one.
+        Reverted versions do not count, nor do their reverts, which restore an earlier version's value.
         """
-        reverted = {revert.version for revert in self._reverts if revert.by <= up_to}
+        reverted = {revert.version for revert in self._reverts if revert.reverted_by <= up_to}
         for entry in reversed(self.between(self.base, up_to)):
-            if _writes(entry, key) and self._is_own_word(entry) and entry.version not in reverted:
+            if _writes(entry, key) and self._is_original(entry) and entry.version not in reverted:
                 return entry.version
         return 0
 
-    def _is_own_word(self, entry: Entry) -> bool:
-        """Whether an entry says by itself what its keys hold: a revert of a kept version does not."""
+    def _is_original(self, entry: Entry) -> bool:
+        """Whether the entry's values are its own: a revert of a kept version only restores earlier ones."""
         return entry.reverts <= self.base
 
     def is_reverted(self, version: int) -> bool:
-        """Whether a version that is kept has been taken back."""
+        """Whether a kept version has been reverted."""
         return any(revert.version == version for revert in self._reverts)
 
     def has_no_reverted_change(self, version: int) -> bool:
-        """Whether the content at a version holds nothing that a later version has taken back."""
-        return not any(revert.version <= version < revert.by for revert in self._reverts)
+        """Whether the content at a version holds no change that a later version reverts."""
+        return not any(revert.version <= version < revert.reverted_by for revert in self._reverts)
 
     def revert_change(self, version: int) -> Change:
-        """What takes a version back: keys on which it has the last word go back to what they were before.
+        """The change that reverts a version: restores the keys that no later version has written.
 
-        Raises EntryError where the version is not kept, changed nothing, or is a revert itself.
+        Raises EntryError if the version is not kept, changed nothing, or is a revert itself.
         """
         entry = self.entry(version)
         if entry is None:
-            raise EntryError(f"version {version} is not kept: what it replaced is not known")
+            raise EntryError(
+                f"version {version} is not kept (kept: {self.base + 1} to {self.head}): cannot revert it"
+            )
         if entry.reverts:
             raise EntryError(
-                f"version {version} takes {entry.reverts} back: put that change in again instead"
+                f"version {version} reverts version {entry.reverts}: request that change again instead"
             )
         if entry.change.is_empty:
             raise EntryError(f"version {version} changed nothing")
@@ -190,46 +192,46 @@
         return Change(puts, tuple(removes))
 
     def _value_before(self, version: int, key: str) -> str | None:
-        """What a key held before a version, as if what was reverted by now had never been."""
+        """A key's value before a version, disregarding all versions that are reverted by now."""
         reverted = {revert.version for revert in self._reverts} | {version}
         before: str | None = None
         for entry in reversed(self.between(self.base, version)):
             if not _writes(entry, key):
                 continue
-            if entry.version not in reverted and self._is_own_word(entry):
+            if entry.version not in reverted and self._is_original(entry):
                 return entry.change.puts.get(key)
             before = self._undo[entry.version].puts.get(key)
         return before
 
     # ---- Catching up --------------------------------------------------------------------------------------
     def steps(self, after: int, version: int) -> tuple[Step, ...]:
-        """What leads from one kept version to a later one; empty where there is nothing to tell.
+        """The steps from one version to a later one; empty if there are none or `after` is not kept.
 
-        The last versions come one by one, so that a refusal names one of them, those before together. What
-        was taken back comes in one step with what took it back.
+        The last MAX_SINGLE_STEPS versions are separate steps, so that a refusal names one version; earlier
+        ones are merged. A reverted version is always merged with the version that reverts it.
         """
         entries = self.between(after, version)
         if after < self.base:
             return ()
-        unwhole = [revert for revert in self._reverts if revert.by <= version]
+        reverts = [revert for revert in self._reverts if revert.reverted_by <= version]
         steps: list[Step] = []
         group: list[Entry] = []
         size = 0
-        for place, entry in enumerate(entries, 1):
+        for index, entry in enumerate(entries, 1):
             group.append(entry)
             size += _size(entry.change)
-            is_last = place == len(entries)
-            is_single = len(entries) - place < MAX_SINGLE_STEPS
-            between = any(revert.version <= entry.version < revert.by for revert in unwhole)
-            if is_last or (not between and (is_single or size >= PAGE_CHARS)):
+            is_last = index == len(entries)
+            is_single = len(entries) - index < MAX_SINGLE_STEPS
+            is_between = any(revert.version <= entry.version < revert.reverted_by for revert in reverts)
+            if is_last or (not is_between and (is_single or size >= PAGE_CHARS)):
                 steps.append(_merged(after, group))
                 after, group, size = entry.version, [], 0
         return tuple(steps)
 
     def snapshot(self, version: int = 0) -> tuple[SnapshotPage, ...]:
-        """The pages of a snapshot: the one of `version` if that is still at hand, else a usable one."""
-        at_hand = self._snapshot[0].version if self._snapshot else -1
-        if at_hand != version and (at_hand < self.base or at_hand < 0):
+        """The pages of a snapshot: of `version` if it is cached, else of the cached or a new usable one."""
+        cached_version = self._snapshot[0].version if self._snapshot else -1
+        if cached_version != version and (cached_version < self.base or cached_version < 0):
             self._snapshot = _pages(self.released, self.released_content)
         return self._snapshot
 
@@ -247,15 +249,15 @@
 
 
 def _pages(version: int, content: Content) -> tuple[SnapshotPage, ...]:
-    groups = list(_grouped(sorted(content.values.items()))) or [{}]
-    last = len(groups) - 1
+    chunks = list(_chunks(sorted(content.values.items()))) or [{}]
+    last = len(chunks) - 1
     digest = content.digest
     return tuple(
-        SnapshotPage(version, digest, number, values, number == last) for number, values in enumerate(groups)
+        SnapshotPage(version, digest, number, values, number == last) for number, values in enumerate(chunks)
     )
 
 
-def _grouped(items: Iterable[tuple[str, str]]) -> Iterable[dict[str, str]]:
+def _chunks(items: Iterable[tuple[str, str]]) -> Iterable[dict[str, str]]:
     group: dict[str, str] = {}
     size = 0
     for key, value in items:
--- a/foxlift/rollout/messages.py
+++ b/foxlift/rollout/messages.py
@@ -1,4 +1,4 @@
-"""What followers of the log and its sources say to each other, and control servers among themselves."""
+"""Messages between log followers and their sources, among control servers, and from operators."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from foxlift.rollout.entry import Change, Entry, Name, Reason, RequestId, Version
 from foxlift.rollout.log import SnapshotPage, Step
 
-WATCH_PATH = "/config/watch"  # of a control server, for POST
+WATCH_PATH = "/config/watch"  # POST, at a control server
 
-MAX_RESPONSE_BYTES = 2 << 20  # of an answer to a watch: a page, or as many entries or steps as one may hold
-MAX_REFUSALS = 16  # that one report tells of
+MAX_RESPONSE_BYTES = 2 << 20  # of a response to a watch: a page, entries or steps
+MAX_REFUSALS = 16  # in one report
 MAX_CANARIES = 64  # of one relay
 
 BootEpoch = Annotated[int, Meta(ge=0, lt=2**53)]
@@ -22,7 +22,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, array_like=True):
-    """A change that a director does not take: which version, what of it, and why."""
+    """A change that a director refuses: version, key and cause."""
 
     version: Version
     key: str
@@ -30,11 +30,11 @@
 
 
 class DirectorWatch(msgspec.Struct, frozen=True, omit_defaults=True, tag="director"):
-    """A director has this version in force, and waits for a later one.
+    """A director has applied this version and waits for a later one.
 
-    `refused`, `offered`: what it did not take, and how far that answer would have led it. `start`: where
-    the way begins that it wants, if not at that version: it builds its content again. `snapshot`, `page`:
-    the next page that it wants of a snapshot it has begun.
+    `refused`: the change that it refused; `offered`: the last version of the response that held it. `start`:
+    set while the director rebuilds its content, the version from which it needs steps. `snapshot`, `page`:
+    the next page that it needs of a snapshot it has begun to read.
     """
 
     sender: Name
@@ -48,7 +48,7 @@
 
 
 class RelayWatch(msgspec.Struct, frozen=True, omit_defaults=True, tag="relay"):
-    """A relay, or another member of the group, has the log up to this version, and waits for more."""
+    """A relay or group member has the log up to `head` and waits for later entries."""
 
     sender: Name
     boot_epoch: BootEpoch = msgspec.field(name="run")
@@ -61,23 +61,23 @@
 
 
 class Steps(msgspec.Struct, frozen=True, omit_defaults=True, tag="steps"):
-    """What leads a director on; none: nothing new came while it waited. `head`: of the relay's log."""
+    """Steps to a later version; empty: nothing new during the wait. `head`: of the relay's log."""
 
     head: Version
     steps: tuple[Step, ...] = ()
 
 
 class Entries(msgspec.Struct, frozen=True, omit_defaults=True, tag="entries"):
-    """What follows in the log; none: nothing new came while the follower waited."""
+    """The next log entries; empty: nothing new during the wait. `head`: of the source's log."""
 
     head: Version
     entries: tuple[Entry, ...] = ()
 
 
 class Page(msgspec.Struct, frozen=True, omit_defaults=True, tag="page"):
-    """A page of a snapshot, for who is too far behind for steps or entries.
+    """A page of a snapshot, for followers that are too far behind for steps or entries.
 
-    `requests`: with the last page for a relay, the orders that the log has carried out.
+    `requests`: with the last page for a relay, the committed request ids and their versions.
     """
 
     page: SnapshotPage
@@ -88,16 +88,16 @@
 
 
 class CanaryState(msgspec.Struct, frozen=True, array_like=True):
-    """A director that is offered changes first, and the version that it has in force."""
+    """A director that is offered changes first, and its version."""
 
     name: Name
     version: Version
 
 
 class Report(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a relay knows of its directors, for the group. `least`: the oldest version in force at one.
+    """A relay's report on its directors. `oldest_version`: the lowest version that one of them has applied.
 
-    `unconfirmed`: canaries that were offered a version and have not been heard of since for too long.
+    `unconfirmed`: canaries that did not contact the relay within the timeout after being offered a version.
     """
 
     sender: Name
@@ -105,14 +105,14 @@
     zone: Name
     head: Version
     directors: Count = 0
-    least: Version = 0
+    oldest_version: Version = msgspec.field(default=0, name="least")
     canaries: Annotated[tuple[CanaryState, ...], Meta(max_length=MAX_CANARIES)] = ()
     unconfirmed: Annotated[tuple[CanaryState, ...], Meta(max_length=MAX_CANARIES)] = ()
     refusals: Annotated[tuple[tuple[Name, Refusal], ...], Meta(max_length=MAX_REFUSALS)] = ()
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A member of the group is alive and has the log up to this version."""
+    """A group member is alive and has the log up to `head`."""
 
     sender: Name
     boot_epoch: BootEpoch = msgspec.field(name="run")
@@ -120,7 +120,7 @@
 
 
 class ChangeRequest(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """An operator's order: a change, or with `withdraw` that a version be taken back."""
+    """An operator's request: a change, or with `withdraw` the version to revert."""
 
     request_id: RequestId = msgspec.field(name="request")
     change: Change = Change()
@@ -128,15 +128,15 @@
 
 
 class Outcome(Enum):
-    """What became of an order."""
+    """The outcome of a change request."""
 
     COMMITTED = "committed"
     REFUSED = "refused"
-    UNKNOWN = "unknown"  # no quorum in time: it may still come into force; the same request may be sent again
+    UNKNOWN = "unknown"  # no quorum in time: it may still be committed; safe to send again
 
 
 class ChangeResponse(msgspec.Struct, frozen=True, omit_defaults=True):
-    """`version`: what carries the order out."""
+    """The outcome; `version`: of the entry that carries the request out."""
 
     outcome: Outcome
     version: Version = 0
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -28,15 +28,15 @@
 from foxlift.rollout.messages import ChangeResponse, Outcome
 
 MAX_QUEUED = 256
-PROPOSAL_MS = 5000.0  # after that its author is told that nothing is known
-CHANGE_MS = 1500.0  # for one round at a register
-MIN_RETRY_MS = 100.0  # after a round without a quorum; doubles
+PROPOSAL_TIMEOUT_MS = 5000.0  # then its author gets the outcome "unknown"
+ROUND_TIMEOUT_MS = 1500.0  # for one consensus round
+MIN_RETRY_MS = 100.0  # after a round without a quorum; doubles each time
 MAX_RETRY_MS = 800.0
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """What an entry is to say. `correlation_id`: the caller's, 0 where nobody waits for the outcome."""
+    """The entry to propose. `correlation_id`: the caller's, 0 if nobody waits for the outcome."""
 
     correlation_id: int
     request_id: str
@@ -44,19 +44,19 @@
     withdraw: int = 0
     release: int = 0
     reason: str = ""
-    repair: bool = False  # only so that the version after the last known one is decided
+    repair: bool = False  # has no content: it only gets the next version decided
 
 
 @dataclass(frozen=True, slots=True)
 class EntryDecided:
-    """This entry is decided."""
+    """The entry is decided."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalFinished:
-    """What became of a proposal."""
+    """The outcome of a proposal."""
 
     correlation_id: int
     response: ChangeResponse
@@ -66,13 +66,13 @@
 
 
 @dataclass(slots=True)
-class _Queued:
+class _QueuedProposal:
     proposal: Proposal
-    until: float
+    expires_at: float
 
 
 class Proposer:
-    """One group member's. The caller appends each EntryDecided to the log before it handles anything else."""
+    """The proposer of one member. The caller appends each EntryDecided to the log before anything else."""
 
     def __init__(
         self, name: str, boot_epoch: int, members: tuple[str, ...], log: ConfigLog, seed: int
@@ -80,34 +80,35 @@
         self._name, self._members, self._log = name, members, log
         self._registers = registers.Registers(f"{name}.{boot_epoch}.config", seed)
         self._random = random.Random(f"{seed} proposer {name}")
-        self._queue: deque[_Queued] = deque()
-        self._out: _Queued | None = None
-        self._not_before = -math.inf
-        self._wait_ms = MIN_RETRY_MS
-        self._last_change = 0
+        self._queue: deque[_QueuedProposal] = deque()
+        self._in_flight: _QueuedProposal | None = None
+        self._retry_at = -math.inf
+        self._retry_delay_ms = MIN_RETRY_MS
+        self._last_round = 0
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is proposed or waits to be."""
-        return self._out is None and not self._queue
+        """Whether no proposal is in flight or queued."""
+        return self._in_flight is None and not self._queue
 
     def is_pending(self, request: str) -> bool:
-        """Whether this request waits for its entry."""
+        """Whether a proposal with this request id is in flight or queued."""
         queued = any(each.proposal.request_id == request for each in self._queue)
-        return queued or (self._out is not None and self._out.proposal.request_id == request)
+        return queued or (self._in_flight is not None and self._in_flight.proposal.request_id == request)
 
     def propose(self, now: float, proposal: Proposal, *, first: bool = False) -> list[Action]:
-        """Put an entry into the log; `first`: before all that wait."""
+        """Queue a proposal; `first`: at the front of the queue."""
         known = self._log.requests.get(proposal.request_id)
         if known is not None:
             return [ProposalFinished(proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, known))]
         if len(self._queue) >= MAX_QUEUED:
             return [
                 ProposalFinished(
-                    proposal.correlation_id, ChangeResponse(Outcome.REFUSED, reason="too many orders wait")
+                    proposal.correlation_id,
+                    ChangeResponse(Outcome.REFUSED, reason=f"too many requests wait: {MAX_QUEUED}"),
                 )
             ]
-        queued = _Queued(proposal, now + PROPOSAL_MS)
+        queued = _QueuedProposal(proposal, now + PROPOSAL_TIMEOUT_MS)
         if first:
             self._queue.appendleft(queued)
         else:
@@ -115,37 +116,39 @@
         return self.advance(now)
 
     def handle(self, now: float, event: registers.ChangeProgress) -> list[Action]:
-        """Something came of a register."""
-        return self._came(now, self._registers.handle(now, event))
+        """Process progress of a register."""
+        return self._handle_register_actions(now, self._registers.handle(now, event))
 
     def advance(self, now: float) -> list[Action]:
-        """Send out the next proposal, if it is time, and give up those whose time is up."""
+        """Start the next proposal if possible, and give up queued ones that have expired."""
         actions: list[Action] = []
-        while self._queue and now >= self._queue[0].until:
-            actions.append(self._done(self._queue.popleft().proposal, Outcome.UNKNOWN, "no quorum in time"))
-        if self._out is not None or not self._queue or now < self._not_before:
+        while self._queue and now >= self._queue[0].expires_at:
+            actions.append(
+                self._finished(self._queue.popleft().proposal, Outcome.UNKNOWN, "no quorum in time")
+            )
+        if self._in_flight is not None or not self._queue or now < self._retry_at:
             return actions
         queued = self._queue.popleft()
         known = self._log.requests.get(queued.proposal.request_id)
         if known is not None:
-            answer = ChangeResponse(Outcome.COMMITTED, known)
-            return [*actions, ProposalFinished(queued.proposal.correlation_id, answer), *self.advance(now)]
+            response = ChangeResponse(Outcome.COMMITTED, known)
+            return [*actions, ProposalFinished(queued.proposal.correlation_id, response), *self.advance(now)]
         try:
             entry = self._entry(now, queued.proposal)
         except EntryError as error:
-            refused = self._done(queued.proposal, Outcome.REFUSED, str(error))
+            refused = self._finished(queued.proposal, Outcome.REFUSED, str(error))
             return [*actions, refused, *self.advance(now)]
-        self._out = queued
-        self._last_change += 1
+        self._in_flight = queued
+        self._last_round += 1
         key, value = register_key(entry.version), entry.encode()
-        change = registers.Change(self._last_change, key, self._members, value, 0, CHANGE_MS)
-        return [*actions, *self._came(now, self._registers.handle(now, change))]
+        change = registers.Change(self._last_round, key, self._members, value, 0, ROUND_TIMEOUT_MS)
+        return [*actions, *self._handle_register_actions(now, self._registers.handle(now, change))]
 
     def _entry(self, now: float, proposal: Proposal) -> Entry:
         log, change = self._log, proposal.change
         if proposal.withdraw:
             if log.is_reverted(proposal.withdraw):
-                raise EntryError(f"version {proposal.withdraw} was taken back before")
+                raise EntryError(f"version {proposal.withdraw} is reverted already")
             change = log.revert_change(proposal.withdraw)
         elif not (proposal.release or proposal.repair):
             check_change(change)
@@ -157,47 +160,47 @@
             reverts=proposal.withdraw,
             released=proposal.release,
             reason=proposal.reason,
-            at=int(now),
+            created_at_ms=int(now),
             digest=log.content.digest_after(change),
         )
 
-    def _came(self, now: float, actions: list[registers.Action]) -> list[Action]:
-        out: list[Action] = []
+    def _handle_register_actions(self, now: float, actions: list[registers.Action]) -> list[Action]:
+        result: list[Action] = []
         for action in actions:
             match action:
                 case registers.Decided(_, value):
-                    out += self._decided(decode_entry(value))
+                    result += self._handle_decided(decode_entry(value))
                 case registers.Unreached():
-                    out += self._unreached(now)
+                    result += self._handle_no_quorum(now)
                 case _:
-                    out.append(action)
-        return out
+                    result.append(action)
+        return result
 
-    def _decided(self, entry: Entry) -> list[Action]:
-        queued, self._out = self._out, None
-        self._wait_ms, self._not_before = MIN_RETRY_MS, -math.inf
-        learned = EntryDecided(entry)
+    def _handle_decided(self, entry: Entry) -> list[Action]:
+        queued, self._in_flight = self._in_flight, None
+        self._retry_delay_ms, self._retry_at = MIN_RETRY_MS, -math.inf
+        decided = EntryDecided(entry)
         if queued is None:
-            return [learned]
+            return [decided]
         if entry.request_id == queued.proposal.request_id:
             return [
-                learned,
+                decided,
                 ProposalFinished(
                     queued.proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, entry.version)
                 ),
             ]
         if not queued.proposal.repair:
             self._queue.appendleft(queued)
-        return [learned]
+        return [decided]
 
-    def _unreached(self, now: float) -> list[Action]:
-        queued, self._out = self._out, None
+    def _handle_no_quorum(self, now: float) -> list[Action]:
+        queued, self._in_flight = self._in_flight, None
         if queued is not None and not queued.proposal.repair:
             self._queue.appendleft(queued)
-        self._not_before = now + self._wait_ms * (0.5 + self._random.random())
-        self._wait_ms = min(self._wait_ms * 2, MAX_RETRY_MS)
+        self._retry_at = now + self._retry_delay_ms * (0.5 + self._random.random())
+        self._retry_delay_ms = min(self._retry_delay_ms * 2, MAX_RETRY_MS)
         return []
 
     @staticmethod
-    def _done(proposal: Proposal, outcome: Outcome, reason: str) -> ProposalFinished:
+    def _finished(proposal: Proposal, outcome: Outcome, reason: str) -> ProposalFinished:
         return ProposalFinished(proposal.correlation_id, ChangeResponse(outcome, reason=reason))
--- a/foxlift/rollout/release.py
+++ b/foxlift/rollout/release.py
@@ -1,15 +1,15 @@
-"""When a change goes to the whole fleet, and when it is taken back: judged from what relays report. No I/O.
+"""Decides from relays' reports when a change is released to the whole fleet or reverted. No I/O.
 
-    change      what relays report                                        what is done
+    change      relays report                                             what is done
     unreleased  a canary refuses it                                       Revert, with its name, key and cause
-    unreleased  half of the canaries, and two, fell silent when offered   Revert
-    unreleased  more than half of the canaries have it for SOAK_MS        Release
+    unreleased  half of the canaries, at least two, silent after offer    Revert
+    unreleased  more than half of the canaries had it for SOAK_MS         Release
     released    more than half of the canaries refuse it                  Revert
 
-Reports that are older than FRESH_MS count no more: a zone that is lost or cut off holds nothing up, and what
-it missed it gets when it is back. Without any canary nothing is released: who cannot be seen may be there.
-A version is released only where nothing that was taken back later is part of the content: the fleet goes from
-before a bad change to after its revert in one step.
+Reports older than MAX_REPORT_AGE_MS are ignored: a lost or disconnected zone delays no change, and gets what
+it missed once it is back. Without any canary nothing is released: directors may be running although no report
+of them arrives. A version is not released if its content holds a change that a later version reverts: the
+fleet goes from before a bad change to after its revert in one step.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from foxlift.rollout.log import ConfigLog
 from foxlift.rollout.messages import Report
 
-FRESH_MS = 3000.0
+MAX_REPORT_AGE_MS = 3000.0
 SOAK_MS = 1000.0
-MIN_SILENT_CANARIES = 2  # one that falls silent may have failed by itself
+MIN_SILENT_CANARIES = 2  # a single one may have failed for another reason
 MAX_REPORTS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Every version up to this one is for the whole fleet."""
+    """Release every version up to this one to the whole fleet."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Revert:
-    """This version is to be taken back."""
+    """Revert this version."""
 
     version: int
     reason: str
@@ -45,8 +45,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
-    """At this time more than half of the canaries had this version in force."""
+class MajorityReached:
+    """From this time on, more than half of the canaries had applied this version."""
 
     version: int
     at: float
@@ -54,57 +54,59 @@
 
 @dataclass(slots=True)
 class ReleasePolicy:
-    """One group member's judgement. Times are ms on a clock that never steps back."""
+    """The release policy of one group member. Times are in ms of a monotonic clock."""
 
     _reports: dict[str, tuple[Report, float]] = field(default_factory=dict)  # by relay
-    _reached: deque[Reach] = field(default_factory=deque)
+    _majorities: deque[MajorityReached] = field(default_factory=deque)
 
     def record_report(self, now: float, report: Report) -> None:
-        """A relay reports."""
-        known = self._reports.get(report.sender)
-        if known is not None and known[0].boot_epoch > report.boot_epoch:
-            return  # of a process that is over
-        if known is None and len(self._reports) >= MAX_REPORTS:
+        """Record a relay's report."""
+        previous = self._reports.get(report.sender)
+        if previous is not None and previous[0].boot_epoch > report.boot_epoch:
+            return  # sent before the relay's restart
+        if previous is None and len(self._reports) >= MAX_REPORTS:
             return
         self._reports[report.sender] = report, now
 
     def recent_reports(self, now: float) -> list[Report]:
-        """The latest report of each relay that was heard lately."""
-        self._reports = {name: kept for name, kept in self._reports.items() if now - kept[1] <= FRESH_MS}
+        """The latest report of each relay, without outdated ones."""
+        self._reports = {
+            name: entry for name, entry in self._reports.items() if now - entry[1] <= MAX_REPORT_AGE_MS
+        }
         return [report for report, _ in self._reports.values()]
 
     def decide(self, now: float, log: ConfigLog) -> Decision | None:
-        """What the next entry should say, if anything."""
+        """The release or revert that is due, if any."""
         reports = self.recent_reports(now)
-        refused = self._refused(reports, log)
+        refused = self._revert_refused(reports, log)
         if refused is not None:
             return refused
         if log.last_change(log.head) <= log.released:
-            self._reached.clear()
+            self._majorities.clear()
             return None
-        return self._silenced(reports, log) or self._released(now, reports, log)
+        return self._revert_silencing(reports, log) or self._next_release(now, reports, log)
 
-    def _refused(self, reports: list[Report], log: ConfigLog) -> Revert | None:
-        """The earliest change that a canary does not take; of those in force, one that most do not take.
+    def _revert_refused(self, reports: list[Report], log: ConfigLog) -> Revert | None:
+        """The earliest unreleased change that a canary refuses, or released change that most canaries refuse.
 
-        A step may hold several versions, so the one at fault is the one that has the word on the refused key.
+        A step may cover several versions; the refused one is the last that wrote the refused key.
         """
         canaries = {state.name for report in reports for state in (*report.canaries, *report.unconfirmed)}
-        by: dict[int, list[tuple[str, str, str]]] = {}
+        refusals_of: dict[int, list[tuple[str, str, str]]] = {}
         for report in reports:
             for name, refusal in report.refusals:
                 if name in canaries:
                     version = log.last_writer(refusal.key, refusal.version)
-                    by.setdefault(version, []).append((name, refusal.key, refusal.cause))
-        for version, refusals in sorted(by.items()):
+                    refusals_of.setdefault(version, []).append((name, refusal.key, refusal.cause))
+        for version, refusals in sorted(refusals_of.items()):
             is_enough = version > log.released or 2 * len(refusals) > len(canaries)
             if is_enough and self._may_revert(version, log):
                 name, key, cause = min(refusals)
                 return Revert(version, f"{name}: {key}: {cause}"[:500])
         return None
 
-    def _silenced(self, reports: list[Report], log: ConfigLog) -> Revert | None:
-        """Directors that were offered a change and are gone may be gone because of it."""
+    def _revert_silencing(self, reports: list[Report], log: ConfigLog) -> Revert | None:
+        """Revert the first unreleased change if many canaries are silent: it may have crashed them."""
         silent = sum(state.version > log.released for report in reports for state in report.unconfirmed)
         canaries = sum(len(report.canaries) + len(report.unconfirmed) for report in reports)
         if silent < MIN_SILENT_CANARIES or 2 * silent < canaries:
@@ -121,19 +123,19 @@
             return False
         return not (entry.change.is_empty or entry.reverts)
 
-    def _released(self, now: float, reports: list[Report], log: ConfigLog) -> Release | None:
+    def _next_release(self, now: float, reports: list[Report], log: ConfigLog) -> Release | None:
         versions = sorted((s.version for report in reports for s in report.canaries), reverse=True)
         if not versions:
             return None
-        self._note_reach(now, min(versions[len(versions) // 2], log.head))
+        self._record_majority(now, min(versions[len(versions) // 2], log.head))
         ready = 0
-        while self._reached and now - self._reached[0].at >= SOAK_MS:
-            ready = self._reached.popleft().version
-        # where it was taken back, canaries are on their way to the version that did so
+        while self._majorities and now - self._majorities[0].at >= SOAK_MS:
+            ready = self._majorities.popleft().version
+        # if it is reverted, canaries are about to apply the reverting version
         if log.last_change(ready) <= log.released or not log.has_no_reverted_change(ready):
             return None
         return Release(ready)
 
-    def _note_reach(self, now: float, version: int) -> None:
-        if not self._reached or version > self._reached[-1].version:
-            self._reached.append(Reach(version, now))
+    def _record_majority(self, now: float, version: int) -> None:
+        if not self._majorities or version > self._majorities[-1].version:
+            self._majorities.append(MajorityReached(version, now))
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -1,8 +1,8 @@
-"""A control server without its sockets: the log, the watches of its followers, and its part in the group.
+"""A control server's core: the log, its followers' watches, and its role in the group. No I/O.
 
-A member of the group takes orders and agrees with the others on each entry; a relay follows one member and
-reports to all of them what its directors have in force. Directors may watch either. What a server knows it
-keeps on its disk, and goes on telling while the group is away.
+A group member receives change requests and agrees with the other members on each entry. A relay follows one
+member and reports its directors' versions to all of them. Directors may poll either. A server stores its log
+on disk and keeps serving it while the group is unreachable.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 )
 from foxlift.rollout.proposer import EntryDecided, ProposalFinished
 
-TICK_MS = 100.0
-HEARTBEAT_MS = 500.0
-REPORT_MS = 500.0
+TICK_INTERVAL_MS = 100.0
+HEARTBEAT_INTERVAL_MS = 500.0
+REPORT_INTERVAL_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """Who a control server is. `members`: of the group, in the order in which they lead."""
+    """The identity of a control server. `members`: of the group, in order of leadership."""
 
     name: str
     boot_epoch: int
@@ -48,14 +48,14 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether it belongs to the group; else it is a relay."""
+        """Whether the server belongs to the group; otherwise it is a relay."""
         return self.name in self.members
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class WatchReceived:
-    """A follower's watch; `correlation_id` is the caller's, for the answer."""
+    """A follower's watch; `correlation_id` is the caller's, for the reply."""
 
     correlation_id: int
     watch: Watch
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerDisconnected:
-    """The follower has left before its answer."""
+    """The follower disconnected before the reply."""
 
     correlation_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequested:
-    """An operator's order; `correlation_id` is the caller's, for the answer."""
+    """An operator's request; `correlation_id` is the caller's, for the reply."""
 
     correlation_id: int
     request: ChangeRequest
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterRequested:
-    """Another member's message to this one's acceptor."""
+    """Another member's message to this member's acceptor."""
 
     correlation_id: int
     message: RegisterAsk
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The disk has what StoreOpenVersion asked for; `ok`: False where it failed."""
+    """The disk write of StoreOpenVersion has ended; `ok`: False if it failed."""
 
     correlation_id: int
     ok: bool
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterEvent:
-    """Something came of a register that this member changes."""
+    """Progress of a register that this member is changing."""
 
     event: registers.ChangeProgress
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerEvent:
-    """Something came of this server's own watch of another; `source`: a member, "" for a relay's one."""
+    """An event for one of this server's followers; `source`: the followed member, "" at a relay."""
 
     source: str
     event: follower.Event
@@ -109,22 +109,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message that needs no answer."""
+    """A message that needs no reply."""
 
     message: Heartbeat | Report
 
 
 @dataclass(frozen=True, slots=True)
 class DiskTrusted:
-    """Whether the disk is known to be the last run's; `highest`: of the others, where it is not."""
+    """The disk check has ended; `highest_version`: reported by other members, used if the disk was lost."""
 
-    lost: bool
-    highest: int = 0
+    was_lost: bool
+    highest_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """TICK_MS have passed."""
+    """TICK_INTERVAL_MS has passed."""
 
 
 Event = (
@@ -144,7 +144,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class ReplyWatch:
-    """Answer a watch; None: it cannot be held."""
+    """Reply to a watch; None: refused, there are too many."""
 
     correlation_id: int
     response: WatchResponse | None
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyChange:
-    """Answer an order."""
+    """Reply to a change request."""
 
     correlation_id: int
     response: ChangeResponse
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyRegister:
-    """Answer a proposer; None: the disk has failed."""
+    """Reply to a proposer; None: no vote, the disk failed or is not trusted."""
 
     correlation_id: int
     response: RegisterAnswer | None
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Watch another server; its answer comes back as FollowerEvent."""
+    """Poll another server; its response comes back as FollowerEvent."""
 
     source: str
     watch_id: int
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message that a later one repeats."""
+    """Send a message whose loss does not matter, because a later one replaces it."""
 
     to: str
     message: Heartbeat | Report
@@ -186,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreOpenVersion:
-    """Write an open version to the disk, then report Stored."""
+    """Write an open version to disk, then report Stored."""
 
     correlation_id: int
     record: OpenVersion
@@ -194,19 +194,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreEntry:
-    """Write a decided entry to the disk."""
+    """Write a decided entry to disk."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """The log begins at another snapshot: write all of it to the disk."""
+    """The log starts at another snapshot: write all of it to disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Handle this event after so long."""
+    """Handle the event after the delay."""
 
     delay_ms: float
     event: Event
@@ -214,9 +214,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the log."""
+    """Write a log line."""
 
-    what: str
+    message: str
     detail: str = ""
     version: int = 0
 
@@ -237,7 +237,7 @@
 
 
 class ControlServer:
-    """One server. `log`: as its disk has it."""
+    """The core of one server. `log`: read from disk."""
 
     def __init__(
         self, identity: ServerIdentity, log: ConfigLog, open_versions: tuple[OpenVersion, ...] = ()
@@ -245,17 +245,17 @@
         self.identity, self.log = identity, log
         self.hub = hub.WatchHub(log)
         self.member: GroupMember | None = None
-        self._trusted = not identity.is_member
+        self._is_disk_trusted = not identity.is_member
         sources = (
             [(name,) for name in identity.members if name != identity.name]
             if identity.is_member
             else [identity.members]
         )
         self._followers = {
-            of[0] if identity.is_member else "": follower.Follower(
-                identity.name, identity.boot_epoch, of, identity.seed, log
+            names[0] if identity.is_member else "": follower.Follower(
+                identity.name, identity.boot_epoch, names, identity.seed, log
             )
-            for of in sources
+            for names in sources
         }
         if identity.is_member:
             self.member = GroupMember(
@@ -264,21 +264,21 @@
             for record in open_versions:
                 self.member.acceptor.open[record.version] = record
             self.member.acceptor.advance_head(log.head)
-        self._beat_at = self._report_at = -math.inf
+        self._heartbeat_due_at = self._report_due_at = -math.inf
 
     def _make_follower(self, sources: tuple[str, ...]) -> follower.Follower:
         identity = self.identity
         return follower.Follower(identity.name, identity.boot_epoch, sources, identity.seed, self.log)
 
     def start(self, now: float) -> list[Action]:
-        """Follow others, and keep time."""
-        actions: list[Action] = [StartTimer(TICK_MS, Tick())]
-        for source, each in self._followers.items():
-            actions += self._follow(now, source, each.start())
+        """Start the followers and the timer."""
+        actions: list[Action] = [StartTimer(TICK_INTERVAL_MS, Tick())]
+        for source, one in self._followers.items():
+            actions += self._handle_follower_actions(now, source, one.start())
         return actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms on a clock that never steps back."""
+        """Process one event; `now` in ms of a monotonic clock."""
         match event:
             case Tick():
                 return self._tick(now)
@@ -287,127 +287,129 @@
             case FollowerDisconnected(correlation_id):
                 return self._replies(self.hub.handle(now, hub.Disconnected(correlation_id)))
             case FollowerEvent(source, inner):
-                return self._follow(now, source, self._followers[source].handle(inner))
+                return self._handle_follower_actions(now, source, self._followers[source].handle(inner))
             case _:
-                return self._of_member(now, event)
+                return self._handle_member_event(now, event)
 
-    def _of_member(self, now: float, event: Event) -> list[Action]:
+    def _handle_member_event(self, now: float, event: Event) -> list[Action]:
         member = self.member
-        if isinstance(event, RegisterRequested) and (member is None or not self._trusted):
+        if isinstance(event, RegisterRequested) and (member is None or not self._is_disk_trusted):
             return [ReplyRegister(event.correlation_id, None)]
         if member is None:
-            return self._not_a_member(event)
+            return self._refuse_non_member(event)
         match event:
             case ChangeRequested(correlation_id, request):
-                return self._carry_out(now, member.request_change(now, correlation_id, request))
+                return self._handle_member_actions(now, member.request_change(now, correlation_id, request))
             case RegisterRequested(correlation_id, message):
-                return self._carry_out(
+                return self._handle_member_actions(
                     now, member.handle_acceptor_event(acceptor.Asked(correlation_id, message))
                 )
             case Stored(correlation_id, ok):
                 stored = acceptor.Stored(correlation_id) if ok else acceptor.StoreFailed(correlation_id)
-                return self._carry_out(now, member.handle_acceptor_event(stored))
+                return self._handle_member_actions(now, member.handle_acceptor_event(stored))
             case RegisterEvent(inner):
-                return self._carry_out(now, member.handle_register_event(now, inner))
+                return self._handle_member_actions(now, member.handle_register_event(now, inner))
             case MessageReceived(Heartbeat() as beat):
                 member.handle_heartbeat(now, beat)
             case MessageReceived(Report() as report):
                 member.handle_report(now, report)
-            case DiskTrusted(lost, highest):
-                return self._trust(member, lost, highest)
+            case DiskTrusted(was_lost, highest_version):
+                return self._handle_disk_trusted(member, was_lost, highest_version)
         return []
 
-    def _not_a_member(self, event: Event) -> list[Action]:
+    def _refuse_non_member(self, event: Event) -> list[Action]:
         if not isinstance(event, ChangeRequested):
             return []
         reason = "not a member of the group: " + ", ".join(self.identity.members)
         return [ReplyChange(event.correlation_id, ChangeResponse(Outcome.REFUSED, reason=reason))]
 
-    def _trust(self, member: GroupMember, lost: bool, highest: int) -> list[Action]:
-        self._trusted = True
-        if not lost:
+    def _handle_disk_trusted(self, member: GroupMember, was_lost: bool, highest_version: int) -> list[Action]:
+        self._is_disk_trusted = True
+        if not was_lost:
             return []
-        member.acceptor.abstain_up_to = highest + 1
-        return [WriteLog("the disk was lost", f"silent up to version {highest + 1}")]
+        member.acceptor.abstain_up_to = highest_version + 1
+        return [WriteLog("disk was lost", f"no votes up to version {highest_version + 1}")]
 
     # ---- Time ---------------------------------------------------------------------------------------------
     def _tick(self, now: float) -> list[Action]:
-        actions: list[Action] = [StartTimer(TICK_MS, Tick())]
+        actions: list[Action] = [StartTimer(TICK_INTERVAL_MS, Tick())]
         actions += self._replies(self.hub.handle(now, hub.Tick()))
-        if now >= self._report_at:
-            self._report_at = now + REPORT_MS
+        if now >= self._report_due_at:
+            self._report_due_at = now + REPORT_INTERVAL_MS
             actions += self._report(now)
         if self.member is None:
             return actions
-        if now >= self._beat_at:
-            self._beat_at = now + HEARTBEAT_MS
+        if now >= self._heartbeat_due_at:
+            self._heartbeat_due_at = now + HEARTBEAT_INTERVAL_MS
             beat = Heartbeat(self.identity.name, self.identity.boot_epoch, self.log.head)
             actions += [
                 SendMessage(name, beat) for name in self.identity.members if name != self.identity.name
             ]
-        if self._trusted:
-            actions += self._carry_out(now, self.member.tick(now))
+        if self._is_disk_trusted:
+            actions += self._handle_member_actions(now, self.member.tick(now))
         return actions
 
     def _report(self, now: float) -> list[Action]:
-        """What this server's own directors have in force, to every member of the group."""
+        """Send a report on this server's directors to every group member."""
         identity = self.identity
         report = self.hub.roster.report(now, identity.name, identity.boot_epoch, identity.zone, self.log.head)
         if self.member is not None:
             self.member.handle_report(now, report)
         return [SendMessage(name, report) for name in identity.members if name != identity.name]
 
-    # ---- What the parts want ------------------------------------------------------------------------------
-    def _follow(self, now: float, source: str, actions: list[follower.Action]) -> list[Action]:
-        out: list[Action] = []
+    # ---- Actions of the components ------------------------------------------------------------------------
+    def _handle_follower_actions(
+        self, now: float, source: str, actions: list[follower.Action]
+    ) -> list[Action]:
+        result: list[Action] = []
         for action in actions:
             match action:
                 case follower.SendWatch(watch_id, to, watch):
-                    out.append(SendWatch(source, watch_id, to, watch))
+                    result.append(SendWatch(source, watch_id, to, watch))
                 case watcher.StartTimer(delay_ms, event):
-                    out.append(StartTimer(delay_ms, FollowerEvent(source, event)))
+                    result.append(StartTimer(delay_ms, FollowerEvent(source, event)))
                 case follower.LogAdvanced(after, restored):
-                    out += self._grown(now, after, restored)
-                case follower.SourceMismatch(of, detail):
-                    out.append(WriteLog("what a source told does not fit the log", f"{of}: {detail}"))
-        return out
-
-    def _grown(self, now: float, after: int, restored: bool = False) -> list[Action]:
-        kept: list[Action] = [StoreEntry(entry) for entry in self.log.between(after, self.log.head)]
-        out: list[Action] = [StoreSnapshot()] if restored else kept
-        out += self._replies(self.hub.handle(now, hub.LogChanged()))
+                    result += self._handle_log_advanced(now, after, restored)
+                case follower.SourceMismatch(name, detail):
+                    result.append(WriteLog("source inconsistent with the log", f"{name}: {detail}"))
+        return result
+
+    def _handle_log_advanced(self, now: float, after: int, restored: bool = False) -> list[Action]:
+        entries: list[Action] = [StoreEntry(entry) for entry in self.log.between(after, self.log.head)]
+        result: list[Action] = [StoreSnapshot()] if restored else entries
+        result += self._replies(self.hub.handle(now, hub.LogChanged()))
         if self.member is not None:
-            out += self._carry_out(now, self.member.handle_log_advanced(now))
-        return out
+            result += self._handle_member_actions(now, self.member.handle_log_advanced(now))
+        return result
 
-    def _learn(self, now: float, entry: Entry) -> list[Action]:
-        """An entry that this member's own proposer found to be decided."""
+    def _append_decided(self, now: float, entry: Entry) -> list[Action]:
+        """Append an entry that this member's own proposer found to be decided."""
         if entry.version != self.log.head + 1:
-            return []  # learned from another by now
+            return []  # already received from another member
         try:
             self.log.append(entry)
         except EntryError as error:
-            return [WriteLog("a decided entry does not fit the log", str(error), entry.version)]
-        return self._grown(now, entry.version - 1)
+            return [WriteLog("decided entry inconsistent with the log", str(error), entry.version)]
+        return self._handle_log_advanced(now, entry.version - 1)
 
-    def _carry_out(self, now: float, actions: Sequence[group.Action]) -> list[Action]:
-        out: list[Action] = []
+    def _handle_member_actions(self, now: float, actions: Sequence[group.Action]) -> list[Action]:
+        result: list[Action] = []
         for action in actions:
             match action:
                 case EntryDecided(entry):
-                    out += self._learn(now, entry)
+                    result += self._append_decided(now, entry)
                 case ProposalFinished(correlation_id, answer):
                     if correlation_id:
-                        out.append(ReplyChange(correlation_id, answer))
+                        result.append(ReplyChange(correlation_id, answer))
                 case acceptor.Store(correlation_id, record):
-                    out.append(StoreOpenVersion(correlation_id, record))
+                    result.append(StoreOpenVersion(correlation_id, record))
                 case acceptor.Reply(correlation_id, message):
-                    out.append(ReplyRegister(correlation_id, message))
+                    result.append(ReplyRegister(correlation_id, message))
                 case registers.StartTimer(delay_ms, due):
-                    out.append(StartTimer(delay_ms, RegisterEvent(due)))
+                    result.append(StartTimer(delay_ms, RegisterEvent(due)))
                 case registers.Send():
-                    out.append(action)
-        return out
+                    result.append(action)
+        return result
 
     @staticmethod
     def _replies(replies: list[hub.Reply]) -> list[Action]:
--- a/foxlift/rollout/stores.py
+++ b/foxlift/rollout/stores.py
@@ -1,8 +1,8 @@
-"""What control servers and directors keep of the configuration on their disks.
+"""Stores the configuration of control servers and directors on disk.
 
-A file is a log (`foxlift.store.log`) of JSON records. It is written anew at a start, and while its process
-runs whenever most of it is out of date. A change that the disk does not take is in force all the same: the
-process goes on in memory, and after a restart it gets what it lacks from others.
+A file is a log (`foxlift.store.log`) of JSON records. It is rewritten when the process starts, and later
+whenever most of its records are outdated. If a change cannot be written, it is applied anyway: the process
+continues in memory, and after a restart it gets what it lacks from others.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 SERVER_FILE = "rollout.log"
 DIRECTOR_FILE = "configuration.log"
-MIN_REWRITE_RECORDS = 4096  # in a file before it is written anew while its process runs
-CHUNK_CHARS = 200_000  # of a map in one record
+MIN_REWRITE_RECORDS = 4096  # in a file before it is rewritten at runtime
+CHUNK_CHARS = 200_000  # a `values` record is complete once it holds this many
 
-Done = Callable[[OSError | None], None]
+OnWritten = Callable[[OSError | None], None]
 
 
 class _Base(msgspec.Struct, tag="base", frozen=True):
-    """The log begins after this version, with the content of the `values` records that follow."""
+    """The log starts after this version, with the content in the `values` records that follow."""
 
     version: int
 
@@ -48,32 +48,32 @@
     record: OpenVersion
 
 
-class _Run(msgspec.Struct, tag="run", frozen=True):
-    """A server's run, its own among them, and the one before it."""
+class _BootEpoch(msgspec.Struct, tag="run", frozen=True):
+    """The boot epoch of a group member or of this server, and the one before it."""
 
     name: str
-    run: int
-    before: int
+    boot_epoch: int = msgspec.field(name="run")
+    previous: int = msgspec.field(name="before")
 
 
-class _InForce(msgspec.Struct, tag="in-force", frozen=True):
-    """A director has put a change in force, with which it is at this version."""
+class _Applied(msgspec.Struct, tag="in-force", frozen=True):
+    """A director has applied a change that leads to this version."""
 
     version: int
     change: Change
     digest: str
 
 
-_Record = _Base | _Values | _Requests | _Decided | _Open | _Run | _InForce
+_Record = _Base | _Values | _Requests | _Decided | _Open | _BootEpoch | _Applied
 _decode = msgspec.json.Decoder(_Record).decode
 
 
 class _RecordStore:
-    """A file of records that is appended to, and written anew from `_whole`."""
+    """A file of records that is appended to, and rewritten from `_current_records`."""
 
     def __init__(self, files: FilePort, name: str) -> None:
         self._files, self._file_name = files, name
-        self._count = self._live = 0
+        self._count = self._live_count = 0
         self._writer: GroupWriter | None = None
 
     def _read(self) -> Iterable[_Record]:
@@ -86,42 +86,42 @@
             except msgspec.MsgspecError as error:
                 raise LogError(f"{self._file_name}: record {number}: {error}") from error
 
-    def _whole(self) -> Iterable[_Record]:
+    def _current_records(self) -> Iterable[_Record]:
         raise NotImplementedError
 
-    def _encode_whole(self) -> bytes:
+    def _encode_current(self) -> bytes:
         self._count = 0
-        data = encode_header() + b"".join(self._frame(record) for record in self._whole())
-        self._live = self._count
+        data = encode_header() + b"".join(self._encode_record(record) for record in self._current_records())
+        self._live_count = self._count
         return data
 
-    def _frame(self, record: _Record) -> bytes:
+    def _encode_record(self, record: _Record) -> bytes:
         self._count += 1
         return encode_frame(self._count, msgspec.json.encode(record))
 
-    def _begin(self) -> None:
-        """Write the file anew. Raises OSError."""
-        self._files.replace(self._file_name, self._encode_whole())
+    def _start_writing(self) -> None:
+        """Rewrite the file and open it for appending. Raises OSError."""
+        self._files.replace(self._file_name, self._encode_current())
         self._writer = GroupWriter(self._files, self._file_name)
 
-    def _append(self, record: _Record, done: Done = lambda error: None) -> None:
+    def _append(self, record: _Record, on_written: OnWritten = lambda error: None) -> None:
         assert self._writer is not None
-        if self._count > max(MIN_REWRITE_RECORDS, 4 * self._live):
+        if self._count > max(MIN_REWRITE_RECORDS, 4 * self._live_count):
             self.rewrite()
-        self._writer.append(self._frame(record), done)
+        self._writer.append(self._encode_record(record), on_written)
 
     def rewrite(self) -> None:
-        """Write the file anew with the next group."""
+        """Rewrite the file with the next group of writes."""
         assert self._writer is not None
-        self._writer.replace(self._encode_whole())
+        self._writer.replace(self._encode_current())
 
     @property
     def flushed(self) -> bool:
-        """Whether nothing waits to be written."""
+        """Whether no write is pending."""
         return self._writer is None or self._writer.flushed
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file."""
         if self._writer is not None:
             self._writer.close()
 
@@ -140,10 +140,10 @@
 
 
 class ServerStore(_RecordStore):
-    """A control server's: its log, open versions, and the runs of the group's members."""
+    """A control server's store: its log, open versions and the boot epochs of the group's members."""
 
     def __init__(self, files: FilePort, name: str, now_ms: int) -> None:
-        """Reads the file and begins a new run. Raises OSError and LogError."""
+        """Reads the file and starts a new boot epoch. Raises OSError and LogError."""
         super().__init__(files, SERVER_FILE)
         self.log = ConfigLog(MAX_ENTRIES)
         self.open: dict[int, OpenVersion] = {}
@@ -153,7 +153,7 @@
         self.previous_boot_epoch = self.boot_epochs.get(name, (0, 0))[0]
         self.boot_epoch = max(now_ms, self.previous_boot_epoch + 1)
         self.boot_epochs[name] = self.boot_epoch, self.previous_boot_epoch
-        self._begin()
+        self._start_writing()
 
     def _load(self) -> None:
         base, values, requests = 0, dict[str, str](), dict[str, int]()
@@ -162,10 +162,10 @@
             match record:
                 case _Base(version):
                     base = version
-                case _Values(more):
-                    values |= more
-                case _Requests(known):
-                    requests |= known
+                case _Values(more_values):
+                    values |= more_values
+                case _Requests(more_requests):
+                    requests |= more_requests
                 case _Decided(entry):
                     decided.append(entry)
                 case _:
@@ -182,67 +182,70 @@
         match record:
             case _Open(open_version):
                 self.open[open_version.version] = open_version
-            case _Run(name, run, before):
-                self.boot_epochs[name] = run, before
+            case _BootEpoch(name, boot_epoch, previous):
+                self.boot_epochs[name] = boot_epoch, previous
             case _:
-                raise LogError(f"{SERVER_FILE}: a director's record")
+                raise LogError(f"{SERVER_FILE}: holds a director's record")
 
     def _drop_decided(self) -> None:
         self.open = {version: record for version, record in self.open.items() if version > self.log.head}
 
-    def _whole(self) -> Iterable[_Record]:
+    def _current_records(self) -> Iterable[_Record]:
         self._drop_decided()
         yield _Base(self.log.base)
         for chunk in _chunks(self.log.base_content.values):
             yield _Values(chunk)
         yield _Requests({r: version for r, version in self.log.requests.items() if version <= self.log.base})
-        for name, (run, before) in sorted(self.boot_epochs.items()):
-            yield _Run(name, run, before)
+        for name, (boot_epoch, previous) in sorted(self.boot_epochs.items()):
+            yield _BootEpoch(name, boot_epoch, previous)
         for record in self.open.values():
             yield _Open(record)
         for entry in self.log.entries:
             yield _Decided(entry)
 
-    def store_open_version(self, record: OpenVersion, done: Done) -> None:
-        """Write an open version down."""
+    def store_open_version(self, record: OpenVersion, on_written: OnWritten) -> None:
+        """Write an open version."""
         self.open[record.version] = record
-        self._append(_Open(record), done)
+        self._append(_Open(record), on_written)
 
     def store_entry(self, entry: Entry) -> None:
-        """Write an entry of the log down; it is in `log` already."""
+        """Write an entry that is already in `log`."""
         self._append(_Decided(entry))
 
-    def store_boot_epoch(self, name: str, run: int, done: Callable[[int | None], None]) -> None:
-        """Write down that a member is in this run; tells which it was in before, None if the disk failed."""
-        known, before = self.boot_epochs.get(name, (0, 0))
-        if run < known:
-            done(known)  # of a process that is no more
+    def store_boot_epoch(self, name: str, boot_epoch: int, on_written: Callable[[int | None], None]) -> None:
+        """Write a member's boot epoch; reports the previous one, or None if the disk failed."""
+        known, previous = self.boot_epochs.get(name, (0, 0))
+        if boot_epoch < known:
+            on_written(known)  # sent before the member's restart
             return
-        if run > known:
-            before = known
-            self.boot_epochs[name] = run, before
-        self._append(_Run(name, run, before), lambda error: done(before if error is None else None))
+        if boot_epoch > known:
+            previous = known
+            self.boot_epochs[name] = boot_epoch, previous
+        self._append(
+            _BootEpoch(name, boot_epoch, previous),
+            lambda error: on_written(previous if error is None else None),
+        )
 
 
 class DirectorStore(_RecordStore):
-    """A director's: the content that it has in force. `content` is shared with its agent, who changes it."""
+    """A director's store: the applied content. `content` is shared with the agent, which updates it."""
 
     def __init__(self, files: FilePort) -> None:
-        """Reads the file. Raises OSError. What cannot be used is not an error: it begins at nothing."""
+        """Reads the file. Raises OSError. If the file is unusable, the content starts empty."""
         super().__init__(files, DIRECTOR_FILE)
         self.version, self.content = 0, Content()
-        self.unusable_reason = ""  # why what was there is not used
+        self.unusable_reason = ""  # why the file was not used; empty if it was
         try:
             self._load()
         except LogError as error:
-            self._forget(str(error))
-        self._begin()
+            self._clear(str(error))
+        self._start_writing()
 
     def _load(self) -> None:
         digest = ""
         for record in self._read():
             match record:
-                case _InForce(version, change, digest):
+                case _Applied(version, change, digest):
                     self.content.apply(change)
                     self.version = version
                 case _Base(version):
@@ -250,27 +253,29 @@
                 case _Values(values):
                     self.content.apply(Change(values))
                 case _:
-                    raise LogError(f"{DIRECTOR_FILE}: not a director's record")
+                    raise LogError(f"{DIRECTOR_FILE}: holds a record that is not a director's")
         if digest and digest != self.content.digest:
-            raise LogError(f"{DIRECTOR_FILE}: the content is not that of version {self.version}")
+            raise LogError(
+                f"{DIRECTOR_FILE}: the content does not match the digest of version {self.version}"
+            )
 
-    def _forget(self, why: str) -> None:
-        self.version, self.content, self.unusable_reason = 0, Content(), why
+    def _clear(self, reason: str) -> None:
+        self.version, self.content, self.unusable_reason = 0, Content(), reason
 
-    def reset(self, why: str) -> None:
-        """What is kept cannot be put in force: begin at nothing."""
-        self._forget(why)
+    def reset(self, reason: str) -> None:
+        """The stored content cannot be applied: start with empty content."""
+        self._clear(reason)
         self.rewrite()
 
-    def _whole(self) -> Iterable[_Record]:
+    def _current_records(self) -> Iterable[_Record]:
         yield _Base(self.version)
         for chunk in _chunks(self.content.values):
             yield _Values(chunk)
-        yield _InForce(self.version, Change(), self.content.digest)
+        yield _Applied(self.version, Change(), self.content.digest)
 
-    def store_change(self, version: int, change: Change, whole: bool, done: Done) -> None:
-        """Write down what leads to this version; `content` is that of the version already."""
+    def store_change(self, version: int, change: Change, is_full: bool, on_written: OnWritten) -> None:
+        """Write the change that leads to this version; `content` includes it already."""
         self.version = version
-        if whole:
+        if is_full:
             self.rewrite()
-        self._append(_InForce(version, change, self.content.digest), done)
+        self._append(_Applied(version, change, self.content.digest), on_written)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,7 @@
 from foxlift.rollout.kinds import check_values
 from foxlift.rollout.log import MAX_SINGLE_STEPS, PAGE_CHARS, ConfigLog, Step
 from foxlift.rollout.messages import DirectorWatch, Entries, Page, Refusal, RelayWatch, Steps, Watch
-from foxlift.rollout.roster import CONFIRM_MS, LIVE_MS, Roster
+from foxlift.rollout.roster import CONFIRM_TIMEOUT_MS, DIRECTOR_TIMEOUT_MS, Roster
 from foxlift.rollout.stores import DirectorStore, ServerStore
 from foxlift.rollout.watcher import Progress, Watcher
 from foxlift.store import LogError
@@ -128,7 +128,7 @@
         log.revert_change(3)
     other = ConfigLog()
     revert(other, put(other, a="1").version)
-    with pytest.raises(EntryError, match="version 2 takes 1 back"):
+    with pytest.raises(EntryError, match="version 2 reverts version 1"):
         other.revert_change(2)
 
 
@@ -337,7 +337,7 @@
     assert [type(a) for a in driven.answer(lead(log, 1))] == [agent.WriteLog]
     assert driven.watch.start == 0 and driven.watch.version == 1 and driven.agent.version == 1
     apply, persist = driven.answer(lead(log, 0))
-    assert isinstance(apply, agent.Apply) and isinstance(persist, agent.Persist) and persist.whole
+    assert isinstance(apply, agent.Apply) and isinstance(persist, agent.Persist) and persist.is_full
     assert apply.change == Change({"titles/a": "1", "titles/b": "1"}, ("titles/x",))
     assert driven.agent.version == 2 and driven.agent.content.digest == log.content.digest
 
@@ -448,10 +448,10 @@
     roster = Roster()
     roster.record_watch(0.0, DirectorWatch("d0", 1, 4))
     roster.record_offer(10.0, "d0", 5)
-    assert roster.report(CONFIRM_MS, "r0", 1, "z", 5).unconfirmed == ()
-    report = roster.report(CONFIRM_MS + 20.0, "r0", 1, "z", 5)
+    assert roster.report(CONFIRM_TIMEOUT_MS, "r0", 1, "z", 5).unconfirmed == ()
+    report = roster.report(CONFIRM_TIMEOUT_MS + 20.0, "r0", 1, "z", 5)
     assert [state.version for state in report.unconfirmed] == [5] and report.canaries == ()
-    roster.remove_silent(LIVE_MS + 1.0)
+    roster.remove_silent(DIRECTOR_TIMEOUT_MS + 1.0)
     assert len(roster) == 0
 
 
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -295,7 +295,7 @@
 
 
 def test_acceptors_that_break_their_promise_are_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked = Acceptor._asked
+    asked = Acceptor._handle_request
 
     def forgets(self: Acceptor, request: int, message: Ask) -> list[acceptor.Action]:
         for version in [version for version in self.open if key_is(message.key, version)]:
@@ -305,7 +305,7 @@
     def key_is(key: str, version: int) -> bool:
         return acceptor.register_version(key) == version
 
-    monkeypatch.setattr(Acceptor, "_asked", forgets)
+    monkeypatch.setattr(Acceptor, "_handle_request", forgets)
     assert faults_of(range(60))
 
 
@@ -327,10 +327,12 @@
         world.run(3000.0)
         return settle(world, 20_000.0)
 
-    trust = ControlServer._trust
+    trust = ControlServer._handle_disk_trusted
     assert faults_of(range(20), forget_and_vote) == []
     monkeypatch.setattr(
-        ControlServer, "_trust", lambda self, member, lost, highest: trust(self, member, False, highest)
+        ControlServer,
+        "_handle_disk_trusted",
+        lambda self, member, lost, highest: trust(self, member, False, highest),
     )
     assert faults_of(range(20), forget_and_vote)
 
@@ -348,7 +350,7 @@
 
 
 def test_refusals_that_nobody_judges_are_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ReleasePolicy, "_refused", lambda self, reports, log: None)
+    monkeypatch.setattr(ReleasePolicy, "_revert_refused", lambda self, reports, log: None)
     world = ready(RolloutWorld(9, directors=6))
     world.refuses = lambda name, value: (
         value == BAD and name.endswith("-5")
@@ -370,7 +372,7 @@
 
 
 def test_a_director_that_takes_steps_from_elsewhere_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(agent, "_follow", lambda version, steps: True)
+    monkeypatch.setattr(agent, "_is_chain", lambda version, steps: True)
     made = agent.Agent("d0", 1, ("r0",), 1, lambda change: None, 5, Content({"titles/a": "1"}))
     (ask, *_) = made.start()
     assert isinstance(ask, agent.SendWatch)
@@ -395,7 +397,7 @@
     for number in range(proposer.MAX_QUEUED + 20):
         put(world, f"t{number}")
     assert world.record.outcomes["refused"] >= 19
-    monkeypatch.setattr(hub, "MAX_HELD", 2)
+    monkeypatch.setattr(hub, "MAX_HELD_WATCHES", 2)
     source = hub.WatchHub(ConfigLog())
     watches = [hub.WatchReceived(number, DirectorWatch(f"d{number}", 1, 0)) for number in range(3)]
     assert [source.handle(0.0, watch) for watch in watches] == [[], [], [hub.Reply(2, None)]]
