--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -69,7 +69,7 @@
     def claim(self) -> None:
         """Make one claim, to its end."""
         number = next(self._numbers)
-        want = recovery_claims.Want(
+        want = recovery_claims.ClaimRequested(
             number, f"t/token-{number:012}", claim_of(number), EXPIRES_MS, 500.0, tuple(self.names)
         )
         pending = list(self.claims.handle(NOW_MS, want))
@@ -78,8 +78,8 @@
             action = pending.pop(0)
             if isinstance(action, register.Send):
                 answered = register.ResponseReceived(action.request_id, self._ask(action))
-                pending += self.claims.handle(NOW_MS, recovery_claims.OfRegister(answered))
-            held |= isinstance(action, recovery_claims.Held)
+                pending += self.claims.handle(NOW_MS, recovery_claims.RegisterProgress(answered))
+            held |= isinstance(action, recovery_claims.Granted)
         if not held:
             raise RuntimeError("a claim that nobody contests was not held")
 
--- a/bench/scale/control_scans.py
+++ b/bench/scale/control_scans.py
@@ -83,15 +83,15 @@
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
     there = tuple(names[: len(names) - dead])
     for name in names[len(names) - dead :]:
-        machine.handle(0.0, takeover.Seen(name, PeerState.DEAD, PEER_RUN, there))
-    machine.handle(0.0, takeover.Listed(server_names(servers)))
+        machine.handle(0.0, takeover.PeerChanged(name, PeerState.DEAD, PEER_RUN, there))
+    machine.handle(0.0, takeover.BoxesListed(server_names(servers)))
     return machine
 
 
 def _plan_after_a_change(names: list[str], servers: int, dead: int) -> Sample:
     machine = _takeovers(names, servers, dead)
     there = tuple(names[: len(names) - dead])
-    seen = takeover.Seen(names[1], PeerState.ALIVE, PEER_RUN + 1, there)
+    seen = takeover.PeerChanged(names[1], PeerState.ALIVE, PEER_RUN + 1, there)
     return processor_ms(lambda: machine.handle(0.0, seen), rounds=3)
 
 
@@ -111,7 +111,7 @@
     names = director_names(DIRECTORS)
     machine = _takeovers(names, 0, dead)
     for name in names[1 : DIRECTORS // 2 + 1]:
-        machine.handle(0.0, takeover.Heard(name))
+        machine.handle(0.0, takeover.PeerContacted(name))
     return machine
 
 
@@ -121,7 +121,7 @@
 
 def _message_while_dead(dead: int) -> Sample:
     machine = _takeovers(director_names(DIRECTORS), 0, dead)
-    heard = takeover.Heard(director_names(DIRECTORS)[1])
+    heard = takeover.PeerContacted(director_names(DIRECTORS)[1])
     return processor_ms(lambda: machine.handle(0.0, heard), rounds=31)
 
 
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -110,7 +110,7 @@
     Finding(
         Kind.GROWS,
         "foxlift/recovery/takeover.py",
-        "`_Gone.heard`",
+        "`_GoneDirector.contacted`",
         "for each dead director who was heard since: a bit for each name",
         _scan("memory of whom half of the fleet was heard since a death", CONTROL, "dead directors"),
         ZONE,
@@ -142,8 +142,8 @@
     ),
     Finding(
         Kind.GROWS,
-        "foxlift/recovery/book.py",
-        "`met`",
+        "foxlift/recovery/register_store.py",
+        "`peer_epochs`",
         "a run for each name ever met, in memory, on disk and in each rewrite of the file",
         worked_out=f"{READ}; one entry a director replaced under a new name, 6,100 a day at most",
         mend="drop names that the settings no longer hold",
@@ -179,7 +179,7 @@
     Finding(
         Kind.WORK,
         "foxlift/recovery/takeover.py",
-        "`Takeovers._plan`, `successor`",
+        "`Takeovers._update_works`, `successor`",
         "at each change of the view, for each dead director and each server, names are hashed until one "
         "ranks higher (here: 100 servers, 1 dead)",
         _scan("plan of takeovers after one change, 100 servers, 1 dead", CONTROL, "directors"),
@@ -211,7 +211,7 @@
     Finding(
         Kind.WORK,
         "foxlift/recovery/takeover.py",
-        "`Heard`",
+        "`PeerContacted`",
         "each message of a peer is told to each dead director's entry",
         _scan("a peer's message while directors are dead", CONTROL, "dead directors"),
         ZONE,
@@ -367,8 +367,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/recovery/book.py",
-        "`_whole`",
+        "foxlift/recovery/register_store.py",
+        "`_encode_all`",
         "all registers are encoded on the loop when the file is written anew",
         _scan("rewriting the registers' file", REGISTER_HOLDERS, "registers"),
         REGISTERS,
@@ -397,8 +397,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/recovery/standing.py",
-        "`_ask`",
+        "foxlift/recovery/disk_check.py",
+        "`_query`",
         "a start asks every peer at once which run it knows; each answer waits for a write to disk there",
         worked_out="{{worked:hellos_per_start}} a start, {{worked:hellos_per_s}} over the fleet on an "
         "ordinary day",
--- a/bench/scale/storage_scans.py
+++ b/bench/scale/storage_scans.py
@@ -13,7 +13,7 @@
 from foxlift.ledger.export import MOST
 from foxlift.ledger.journal import NAME, read_records
 from foxlift.ledger.records import EMPTY_CHAIN, Alive, Opened, encode, link
-from foxlift.recovery.book import RegisterBook
+from foxlift.recovery.register_store import RegisterStore
 from foxlift.store import SegmentedLog
 
 sys.path.insert(0, str(Path(__file__).parents[2] / "tests"))
@@ -87,14 +87,14 @@
 
 
 def _rewritten_registers(registers: int) -> Sample:
-    book = RegisterBook(MemoryFiles(), "director-00001", NOW_MS)
+    book = RegisterStore(MemoryFiles(), "director-00001", NOW_MS)
     for number in range(registers):
         key = f"t/7f2c5f3e-6a51-4a0e-9a25-{number:012x}"
         ballot = Ballot(1, "director-00001.1790000000000")
         set_up = f"director-00001.19f05c3a2b1-{number:x}-0"
         value = f'["director-00001",1790000000000,"server-00001","{set_up}",1790000000000,"b"]'
         book.records[key] = Record(key, NOW_MS + 3_600_000, ballot, ballot, value)
-    return processor_ms(book._whole, rounds=5)
+    return processor_ms(book._encode_all, rounds=5)
 
 
 SCANS = (
--- a/foxlift/control/disk_trust.py
+++ b/foxlift/control/disk_trust.py
@@ -1,6 +1,6 @@
 """Whether a member's disk is the one of its last run: asked of the other members at the start.
 
-The rules are those of `foxlift.recovery.standing`; here are its messages, in both directions. A member whose
+Carries the messages of `foxlift.recovery.disk_check`, in both directions. A member whose
 disk is lost learns from the answers up to which version it must say nothing (`foxlift.rollout.acceptor`).
 """
 
@@ -15,7 +15,7 @@
 from foxlift.control.messages import HELLO, Hello, HelloAnswer
 from foxlift.director.timeline import Timeline
 from foxlift.http import NamedPools
-from foxlift.recovery import standing
+from foxlift.recovery import disk_check
 from foxlift.rollout.books import ServerBook
 
 HELLO_TIMEOUT_MS = 1000.0
@@ -37,30 +37,30 @@
         self._name, self._book, self._client, self._timeline = config.name, book, client, timeline
         self._on_trusted = on_trusted
         self._highest = 0
-        self._standing = standing.Standing(others, book.last_run, config.seed, config.trust_disk)
+        self._disk_check = disk_check.DiskCheck(others, book.last_run, config.seed, config.trust_disk)
 
     def start(self) -> None:
         """Ask the others."""
-        self._carry_out(self._standing.start())
+        self._carry_out(self._disk_check.start())
 
-    def _handle(self, event: standing.Event) -> None:
-        self._carry_out(self._standing.handle(event))
+    def _handle(self, event: disk_check.Event) -> None:
+        self._carry_out(self._disk_check.handle(event))
 
-    def _carry_out(self, actions: list[standing.Action]) -> None:
+    def _carry_out(self, actions: list[disk_check.Action]) -> None:
         for action in actions:
             match action:
-                case standing.AskKnown(peer):
+                case disk_check.QueryEpoch(peer):
                     self._say_hello(peer)
-                case standing.StartTimer(delay_ms):
-                    self._timeline.later(delay_ms, partial(self._handle, standing.AskAgainDue()))
-                case standing.Vouch(lost):
+                case disk_check.StartTimer(delay_ms):
+                    self._timeline.later(delay_ms, partial(self._handle, disk_check.RetryDue()))
+                case disk_check.Trust(lost):
                     self._on_trusted(lost, self._highest)
 
     def _say_hello(self, member: str) -> None:
         def answered(answer: HelloAnswer | None) -> None:
             if answer is not None and answer.sender == member:
                 self._highest = max(self._highest, answer.highest)
-                self._handle(standing.Told(member, answer.before))
+                self._handle(disk_check.EpochReported(member, answer.before))
 
         body = msgspec.json.encode(Hello(self._name, self._book.run))
         self._client.request(member, HELLO, body, HELLO_TIMEOUT_MS, _decode_answer, answered)
--- a/foxlift/director/cluster/context.py
+++ b/foxlift/director/cluster/context.py
@@ -10,7 +10,7 @@
 
 from foxlift.config import DirectorConfig
 from foxlift.director.timeline import Timeline
-from foxlift.recovery.book import RegisterBook
+from foxlift.recovery.register_store import RegisterStore
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
 
@@ -32,14 +32,14 @@
         self.log = structlog.get_logger().bind(director=config.name)
         self.addresses = {peer.name: urlsplit(peer.url) for peer in config.peers.others}
         self.members = frozenset(self.addresses) | {config.name}
-        self.book = RegisterBook(files, config.name, int(timeline.now()))
+        self.store = RegisterStore(files, config.name, int(timeline.now()))
         self.closed = False
         self._last_number = 0
 
     @property
     def boot_epoch(self) -> int:
         """This director's present one: above any earlier one, renewed when a box has fenced it off."""
-        return self.book.run
+        return self.store.boot_epoch
 
     def now(self) -> float:
         """Unix time, ms."""
--- a/foxlift/director/cluster/disk_trust.py
+++ b/foxlift/director/cluster/disk_trust.py
@@ -1,6 +1,6 @@
 """Whether this director's disk is the one of its last boot epoch: asked of its peers at the start.
 
-The rules are those of `foxlift.recovery.standing`; here are its messages, in both directions.
+Carries the messages of `foxlift.recovery.disk_check`, in both directions.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from foxlift.director.cluster.messages import JSON_HEADERS, Hello, HelloAnswer
 from foxlift.director.cluster.server import PeerServer
 from foxlift.http import Exchange
-from foxlift.recovery import standing
+from foxlift.recovery import disk_check
 
 HELLO_TIMEOUT_MS = 1000.0
 _decode_answer = msgspec.json.Decoder(HelloAnswer).decode
@@ -33,8 +33,8 @@
     ) -> None:
         config = context.config
         self._context, self._client, self._server, self._on_trusted = context, client, server, on_trusted
-        self._standing = standing.Standing(
-            context.addresses, context.book.last_run, config.seed, config.peers.trust_disk
+        self._disk_check = disk_check.DiskCheck(
+            context.addresses, context.store.last_boot_epoch, config.seed, config.peers.trust_disk
         )
         self.last_epoch_told = 0  # the latest of this director's earlier epochs that a peer has told of
         server.add_handler("/peers/hello", self._receive)
@@ -42,30 +42,30 @@
     @property
     def trusted(self) -> bool:
         """Whether the verdict is there."""
-        return self._standing.vouches
+        return self._disk_check.trusted
 
     def start(self) -> None:
         """Ask all peers."""
-        self._carry_out(self._standing.start())
+        self._carry_out(self._disk_check.start())
 
-    def _handle(self, event: standing.Event) -> None:
-        self._carry_out(self._standing.handle(event))
+    def _handle(self, event: disk_check.Event) -> None:
+        self._carry_out(self._disk_check.handle(event))
 
-    def _carry_out(self, actions: list[standing.Action]) -> None:
+    def _carry_out(self, actions: list[disk_check.Action]) -> None:
         for action in actions:
             match action:
-                case standing.AskKnown(peer):
+                case disk_check.QueryEpoch(peer):
                     self._say_hello(peer)
-                case standing.StartTimer(delay_ms):
-                    self._context.later(delay_ms, partial(self._handle, standing.AskAgainDue()))
-                case standing.Vouch(lost):
+                case disk_check.StartTimer(delay_ms):
+                    self._context.later(delay_ms, partial(self._handle, disk_check.RetryDue()))
+                case disk_check.Trust(lost):
                     self._on_trusted(lost)
 
     def _say_hello(self, peer: str) -> None:
         def answered(answer: HelloAnswer | None) -> None:
             if answer is not None and answer.sender == peer:
                 self.last_epoch_told = max(self.last_epoch_told, answer.before)
-                self._handle(standing.Told(peer, answer.before))
+                self._handle(disk_check.EpochReported(peer, answer.before))
 
         body = msgspec.json.encode(Hello(self._context.name, self._context.boot_epoch))
         self._client.request(peer, "/peers/hello", body, HELLO_TIMEOUT_MS, _decode_answer, answered)
@@ -83,4 +83,4 @@
                 answer = HelloAnswer(self._context.name, self._context.boot_epoch, before)
                 exchange.reply(200, JSON_HEADERS, msgspec.json.encode(answer))
 
-        self._context.book.meet(hello.sender, hello.run, stored)
+        self._context.store.record_epoch(hello.sender, hello.run, stored)
--- a/foxlift/director/cluster/epoch_renewal.py
+++ b/foxlift/director/cluster/epoch_renewal.py
@@ -28,7 +28,7 @@
             return
         self._in_progress, self._last_at = True, now
         self._context.counters.add("runs renewed")
-        self._context.book.renew(max(int(now), above + 1), self._stored)
+        self._context.store.renew(max(int(now), above + 1), self._stored)
 
     def _stored(self, error: OSError | None) -> None:
         self._in_progress = False
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -21,15 +21,15 @@
 from foxlift.http import Answer, Failure
 from foxlift.recovery import route, takeover
 from foxlift.recovery.claims import Claim
-from foxlift.recovery.route import Verdict
+from foxlift.recovery.route import RouteOutcome
 
 MISDIRECTED = 421  # status of a peer that does not answer a forwarded request
 _HINT = re.compile(r"^([A-Za-z0-9._-]{1,100})/(\d{1,16})/([A-Za-z0-9._-]{1,100})/([A-Za-z0-9._~-]{1,200})$")
 _REASONS = {
-    Verdict.PLAYED: Why.PLAYED,
-    Verdict.FAILED: Why.FAILED,
-    Verdict.NOT_HERE: Why.NOT_HERE,
-    Verdict.COME_BACK: Why.UNREACHED,
+    RouteOutcome.PLAYED: Why.PLAYED,
+    RouteOutcome.FAILED: Why.FAILED,
+    RouteOutcome.NOT_HERE: Why.NOT_HERE,
+    RouteOutcome.COME_BACK: Why.UNREACHED,
 }
 
 
@@ -70,18 +70,18 @@
     # ---- Requests -----------------------------------------------------------------------------------------
     def resolve(self, request: int, claim: Claim | None, hint: bool = False, forwarded: bool = False) -> None:
         """Find out who answers this request."""
-        self._handle(route.Wish(request, claim, hint, forwarded))
+        self._handle(route.RouteRequested(request, claim, hint, forwarded))
 
     def resolve_own(self, request: int, token: str, expires: int, forwarded: bool) -> None:
         """A request whose token's set-up here may have run: is it still this director's to say so?"""
 
-        def tell(verdict: Verdict) -> None:
-            self._tell(route.Tell(request, verdict, self.come_back_ms()))
+        def tell(verdict: RouteOutcome) -> None:
+            self._tell(route.Resolved(request, verdict, self.come_back_ms()))
 
         outcome = ClaimOutcome(
-            held=partial(tell, Verdict.FAILED),
+            held=partial(tell, RouteOutcome.FAILED),
             owned_elsewhere=lambda owner: self.resolve(request, owner, forwarded=forwarded),
-            no_quorum=partial(tell, Verdict.COME_BACK),
+            no_quorum=partial(tell, RouteOutcome.COME_BACK),
         )
         if not self._token_claims.query(token, expires, outcome):
             self._host.turn_down(request, Why.FAILED, 0.0)
@@ -95,7 +95,7 @@
 
     def viewer_left(self, request: int) -> None:
         """Its viewer has left."""
-        self._handle(route.Left(request))
+        self._handle(route.ViewerLeft(request))
 
     # ---- Hints --------------------------------------------------------------------------------------------
     def read_hint(self, text: str) -> Claim | None:
@@ -111,34 +111,34 @@
     def _handle(self, event: route.Event) -> None:
         for action in self._routes.handle(event):
             match action:
-                case route.PassOn(request, to):
+                case route.Forward(request, to):
                     self._forward(request, to)
-                case route.AskBox(request, claim):
+                case route.QueryBox(request, claim):
                     self._ask_box(request, claim)
-                case route.Tell():
+                case route.Resolved():
                     self._tell(action)
 
     def _ask_box(self, request: int, claim: Claim) -> None:
         certain = claim.owner == self._context.name or self._schedule.is_certain(claim.owner)
         answered = partial(self._box_answered, request, claim.box)
-        self._orders.send(claim.box, claim.owner, claim.run, certain, answered, claim.set_up)
+        self._orders.send(claim.box, claim.owner, claim.boot_epoch, certain, answered, claim.set_up)
 
-    def _box_answered(self, request: int, box: str, answer: TakeAnswer | takeover.Why) -> None:
-        if isinstance(answer, takeover.Why):
+    def _box_answered(self, request: int, box: str, answer: TakeAnswer | takeover.TakeoverFailure) -> None:
+        if isinstance(answer, takeover.TakeoverFailure):
             gone = bool(self._boxes) and box not in self._boxes
-            self._handle(route.BoxSilent(request, gone))
+            self._handle(route.BoxFailed(request, gone))
         else:
-            self._handle(route.BoxTold(request, answer.only, answer.owner, answer.since, answer.boot))
+            self._handle(route.BoxResponded(request, answer.only, answer.owner, answer.since, answer.boot))
 
-    def _tell(self, tell: route.Tell) -> None:
-        self._context.counters.add("routed", tell.verdict.value)
-        if tell.verdict in _REASONS:
-            come_back_ms = tell.come_back_ms if tell.verdict is Verdict.COME_BACK else 0.0
-            self._host.turn_down(tell.request, _REASONS[tell.verdict], come_back_ms)
+    def _tell(self, tell: route.Resolved) -> None:
+        self._context.counters.add("routed", tell.outcome.value)
+        if tell.outcome in _REASONS:
+            come_back_ms = tell.come_back_ms if tell.outcome is RouteOutcome.COME_BACK else 0.0
+            self._host.turn_down(tell.request, _REASONS[tell.outcome], come_back_ms)
             return
         viewer = self._host.forwardable(tell.request)
-        if tell.verdict is Verdict.OPEN and tell.instead_of is not None and viewer is not None:
-            self._token_claims.allow_replacement(viewer.token_id, tell.instead_of)
+        if tell.outcome is RouteOutcome.OPEN and tell.replaces is not None and viewer is not None:
+            self._token_claims.allow_replacement(viewer.token_id, tell.replaces)
         self._host.open_here(tell.request)
 
     def _forward(self, request: int, to: str) -> bool:
@@ -154,9 +154,9 @@
 
     def _forwarded(self, request: int, result: Answer | Failure) -> None:
         if isinstance(result, Answer) and result.status != MISDIRECTED:
-            self._handle(route.Answered(request))
+            self._handle(route.ForwardAnswered(request))
             self._host.relay(request, result)
         elif self._routes.knows(request):
-            self._handle(route.NotPassed(request))
+            self._handle(route.ForwardFailed(request))
         else:
             self._host.turn_down(request, Why.UNREACHED, self.come_back_ms())
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -192,7 +192,7 @@
         hinted = self.service.forwarder.read_hint(held.wanted.hint) if held.wanted.hint else None
         if hinted is None or not self.daemon.core.claims.is_new(held.wanted.token.id):
             return False
-        if hinted.owner == self.daemon.config.name and hinted.run == self.boot_epoch:
+        if hinted.owner == self.daemon.config.name and hinted.boot_epoch == self.boot_epoch:
             return False
         self.service.forwarder.resolve(number, hinted, hint=True, forwarded=passed)
         return True
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -35,17 +35,17 @@
 
     def begin(self, disk_lost: bool) -> None:
         """Answer from now on. `disk_lost`: what the disk holds may be old, and counts from now only."""
-        book, peers = self._context.book, self._context.config.peers
+        store, peers = self._context.store, self._context.config.peers
         if disk_lost:
             now = int(self._context.now())
             self._context.log.error("the state folder is not the last run's: lost, or an older copy")
-            book.begin_anew(now)
-            book.begun_at = now
+            store.mark_disk_lost(now)
+            store.valid_since = now
         apart = peers.clocks_apart_ms
-        self._tokens = Replica(peers.longest_token_s * 1000, apart, book.begun_at, book.records)
+        self._tokens = Replica(peers.longest_token_s * 1000, apart, store.valid_since, store.records)
         if self._context.name in peers.makers:
-            self._plan = Replica(PLAN_END_UNIX_MS, apart, book.begun_at, book.records)
-        self._context.log.info("registers vouched for", lost=disk_lost, held=len(book.records))
+            self._plan = Replica(PLAN_END_UNIX_MS, apart, store.valid_since, store.records)
+        self._context.log.info("registers vouched for", lost=disk_lost, held=len(store.records))
 
     def handle(self, ask: RegisterAsk, reply: Reply) -> None:
         """Answer a proposer's message; `reply(None)` where the disk failed."""
@@ -71,7 +71,7 @@
             if error is not None:
                 reply(None)
 
-        self._context.book.keep(record, stored)
+        self._context.store.append_record(record, stored)
 
 
 class RegisterEndpoint:
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -86,7 +86,7 @@
     @property
     def flushed(self) -> bool:
         """Whether nothing waits to be written to the disk."""
-        return self._context.book.flushed
+        return self._context.store.flushed
 
     # ---- Life cycle ---------------------------------------------------------------------------------------
     async def start(self) -> int:
@@ -111,7 +111,7 @@
         """Let go of everything."""
         self._context.closed = True
         self._client.close()
-        self._context.book.close()
+        self._context.store.close()
 
     # ---- Servers ------------------------------------------------------------------------------------------
     def boxes_listed(self, boxes: frozenset[str]) -> None:
--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -12,7 +12,7 @@
 from foxlift.http import Answer, Failure
 from foxlift.peers.messages import PeerState
 from foxlift.recovery import takeover
-from foxlift.recovery.takeover import Why
+from foxlift.recovery.takeover import TakeoverFailure
 
 CONFLICT = 409
 
@@ -29,7 +29,7 @@
         owner: str,
         up_to_epoch: int,
         certain: bool,
-        done: Callable[[TakeAnswer | Why], None],
+        done: Callable[[TakeAnswer | TakeoverFailure], None],
         only_set_up: str | None = None,
     ) -> None:
         """Ask for what `owner` has at a box in epochs up to one (0: the last that the box has seen)."""
@@ -50,17 +50,17 @@
             done(answer)
 
         if not self._host.send_takeover(box, order, answered):
-            done(Why.SILENT)
+            done(TakeoverFailure.SILENT)
 
-    def _refusal_of(self, result: Answer | Failure, epoch: int) -> Why:
-        """Why nothing was taken. Where a server has fenced this director off, a new epoch begins."""
+    def _refusal_of(self, result: Answer | Failure, epoch: int) -> TakeoverFailure:
+        """Why the takeover failed. Where a server has fenced this director off, a new epoch begins."""
         if not isinstance(result, Answer) or result.status != CONFLICT:
-            return Why.SILENT
+            return TakeoverFailure.SILENT
         if result.header("foxlift-refusal") == "alive":
-            return Why.ALIVE
+            return TakeoverFailure.ALIVE
         if epoch == self._context.boot_epoch:
             self._renewal.renew(result)
-        return Why.FENCED
+        return TakeoverFailure.FENCED
 
 
 def _answer_of(result: Answer | Failure) -> TakeAnswer | None:
@@ -81,19 +81,19 @@
 
     def epoch_begun(self) -> None:
         """Take over what earlier epochs of this director have."""
-        self._handle(takeover.Started(self._context.boot_epoch))
+        self._handle(takeover.EpochBegun(self._context.boot_epoch))
 
     def boxes_listed(self, boxes: frozenset[str]) -> None:
         """The box list has changed."""
-        self._handle(takeover.Listed(boxes))
+        self._handle(takeover.BoxesListed(boxes))
 
     def peer_heard(self, name: str) -> None:
         """A message of this peer has come."""
-        self._handle(takeover.Heard(name))
+        self._handle(takeover.PeerContacted(name))
 
     def peer_changed(self, name: str, state: PeerState, epoch: int, alive: tuple[str, ...]) -> None:
         """What is believed of a peer has changed; `alive`: all that are believed to be there."""
-        self._handle(takeover.Seen(name, state, epoch, alive))
+        self._handle(takeover.PeerChanged(name, state, epoch, alive))
 
     def is_gone(self, name: str) -> bool:
         """Whether a director's work is to be taken over."""
@@ -114,15 +114,15 @@
     def _handle(self, event: takeover.Event) -> None:
         for action in self._takeovers.handle(self._context.now(), event):
             match action:
-                case takeover.Take(work, box, owner, up_to_epoch, certain):
+                case takeover.RequestTakeover(work, box, owner, up_to_epoch, certain):
                     self._orders.send(box, owner, up_to_epoch, certain, partial(self._answered, work))
                 case takeover.StartTimer(delay_ms, due):
                     self._context.later(delay_ms, partial(self._handle, due))
 
-    def _answered(self, work: int, answer: TakeAnswer | Why) -> None:
+    def _answered(self, work: int, answer: TakeAnswer | TakeoverFailure) -> None:
         if self._context.closed:
             return
-        if isinstance(answer, Why):
-            self._handle(takeover.NotTaken(work, answer))
+        if isinstance(answer, TakeoverFailure):
+            self._handle(takeover.TakeoverFailed(work, answer))
         else:
-            self._handle(takeover.Took(work, answer.more))
+            self._handle(takeover.TakenOver(work, answer.more))
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -67,7 +67,7 @@
 
     def epoch_renewed(self) -> None:
         """Claim in the present boot epoch from now on."""
-        self._claims.run = self._context.boot_epoch
+        self._claims.boot_epoch = self._context.boot_epoch
 
     def lose(self, set_up: str) -> None:
         """Another director owns this set-up."""
@@ -168,7 +168,7 @@
     ) -> None:
         config, peers = self._context.config, self._context.config.peers
         self._outcomes[number] = outcome
-        want = claims.Want(
+        want = claims.ClaimRequested(
             number,
             f"t/{token}",  # no token's own name is another kind of key
             claim,
@@ -192,13 +192,13 @@
     def _handle(self, event: claims.Event) -> None:
         for action in self._claims.handle(self._context.now(), event):
             match action:
-                case claims.Held(number):
+                case claims.Granted(number):
                     self._finish(number).held()
                     self._start_reclaims()
-                case claims.Elsewhere(number, owner):
+                case claims.OwnedElsewhere(number, owner):
                     self._finish(number).owned_elsewhere(owner)
                     self._start_reclaims()
-                case claims.Unclaimed(number):
+                case claims.ClaimUndecided(number):
                     self._finish(number).no_quorum()
                     self._start_reclaims()
                 case Send():
@@ -212,4 +212,4 @@
 
     def _register_event(self, event: ChangeProgress) -> None:
         if not self._context.closed:
-            self._handle(claims.OfRegister(event))
+            self._handle(claims.RegisterProgress(event))
--- a/foxlift/recovery/claims.py
+++ b/foxlift/recovery/claims.py
@@ -1,16 +1,17 @@
-"""Who may set a paid token up: its register in common, changed before each set-up leaves. No I/O, no clock.
-
-    claim     event                                      next      what is done
-    (none)    Want                                       ASKED     register: empty -> this attempt
-    (none)    Want, instead of a proved one              ASKED     register: that -> this attempt
-    ASKED     decided: this attempt                      (none)    Held
-    ASKED     decided: an earlier attempt of this run    ASKED     register: that -> this attempt
-    ASKED     decided: anything else                     (none)    Elsewhere
-    ASKED     unreached                                  (none)    Unclaimed
-
-An earlier attempt of this run is replaced without asking anybody: the module sends a paid session again only
-after a box's own word that nothing ran. What another director or another run wrote there stands until its
-box has told what became of it (`foxlift.recovery.settle`).
+"""Which director may set a paid token up: its register is changed before the set-up is sent. No I/O, no
+clock.
+
+    claim     event                                       next      what is done
+    (none)    ClaimRequested                              CLAIMING  register: empty -> this attempt
+    (none)    ClaimRequested with `replaces`              CLAIMING  register: that claim -> this attempt
+    CLAIMING  decided: this attempt                       (none)    Granted
+    CLAIMING  decided: an earlier attempt of this epoch   CLAIMING  register: that claim -> this attempt
+    CLAIMING  decided: anything else                      (none)    OwnedElsewhere
+    CLAIMING  no majority of the replicas                 (none)    ClaimUndecided
+
+An earlier attempt of the same boot epoch is replaced without asking its box: the module sends a paid session
+again only after a box has confirmed that nothing ran. The claim of another director or boot epoch stands
+until its box has reported what became of the set-up (`foxlift.recovery.route`).
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 
 from foxlift.consensus import register as rg
 
-MOST_LOST = 100_000
-TRIES = 3  # an own earlier attempt, then perhaps one more
+MAX_LOST_SET_UPS = 100_000
+MAX_TRIES = 3  # this director's own earlier attempt is replaced, and once more if there is another
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """A register's value: which attempt is out or plays, whose, and where; `at`: when written, Unix ms.
+    """A register's value: the owner's attempt that was sent or plays, and its box. `written_at`: Unix ms.
 
-    `boot`: the box's process that the set-up is for: no other one runs it. Where that is not known, no box
-    can prove anything of it.
+    `boot`: the box process that the set-up is for; no other one runs it. Without it no box can prove that the
+    set-up never ran.
     """
 
     owner: str
-    run: int
+    boot_epoch: int
     box: str
     set_up: str
-    at: int = 0
+    written_at: int = 0
     boot: str = ""
 
     def write(self) -> str:
-        """The value as the registers hold it."""
+        """Encode the claim as a register's value."""
         return msgspec.json.encode(self).decode()
 
 
 def read_claim(value: str) -> Claim | None:
-    """None where it cannot be read: then nobody may set the token up."""
+    """Decode a register's value. None if unreadable: then nobody may set the token up."""
     try:
         return msgspec.json.decode(value, type=Claim)
     except msgspec.MsgspecError:
@@ -54,11 +55,11 @@
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Want:
-    """An attempt is about to leave. `expires`: Unix ms, of the token. `number` is the caller's.
+class ClaimRequested:
+    """An attempt is about to be sent. `number` is the caller's. `expires`: end of the token, Unix ms.
 
-    `instead_of`: what the register is known to hold and may be replaced: its set-up was proved not to have
-    run, or it is what this director has taken over.
+    `replaces`: a claim that the register is known to hold and that may be replaced, because its set-up is
+    proved not to have run or because this director has taken it over.
     """
 
     number: int
@@ -67,49 +68,49 @@
     expires: int
     within_ms: float
     replicas: tuple[str, ...]
-    instead_of: Claim | None = None
+    replaces: Claim | None = None
     former_replicas: tuple[str, ...] = ()  # replicas before the number of directors changed
 
 
 @dataclass(frozen=True, slots=True)
-class OfRegister:
-    """Something came of the registers: an answer, a time."""
+class RegisterProgress:
+    """A response or timer of the registers."""
 
     event: rg.ChangeProgress
 
 
-Event = Want | OfRegister
+Event = ClaimRequested | RegisterProgress
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Held:
-    """The register holds this attempt: it may leave, once."""
+class Granted:
+    """The register holds this attempt: its set-up may be sent, once."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
-    """The token is another's, or an earlier run's: what its register holds; None: it cannot be read."""
+class OwnedElsewhere:
+    """The token belongs to another director or epoch. `claim`: of the register, None if unreadable."""
 
     number: int
     claim: Claim | None
 
 
 @dataclass(frozen=True, slots=True)
-class Unclaimed:
-    """Two replicas could not be had in time: nothing may leave, and nothing is known."""
+class ClaimUndecided:
+    """No majority of the replicas answered in time: no set-up may be sent, the owner is unknown."""
 
     number: int
 
 
-Action = Held | Elsewhere | Unclaimed | rg.Send | rg.StartTimer
+Action = Granted | OwnedElsewhere | ClaimUndecided | rg.Send | rg.StartTimer
 
 
 @dataclass(slots=True)
-class _Asked:
-    want: Want
+class _PendingClaim:
+    request: ClaimRequested
     expected: str | None
     tries: int = 1
     change: int = 0
@@ -117,69 +118,70 @@
 
 @dataclass(slots=True)
 class PaidClaims:
-    """Every claim that this director is making. `run` is that of the present: it may be renewed."""
+    """All claims in progress in this director. `boot_epoch`: the present one, set when it is renewed."""
 
     name: str
-    run: int
+    boot_epoch: int
     registers: rg.Proposer
-    _asked: dict[int, _Asked] = field(default_factory=dict)  # by the change's number
-    _lost: dict[str, None] = field(default_factory=dict)  # set-ups that others own now, the oldest first
+    _pending: dict[int, _PendingClaim] = field(default_factory=dict)  # by number of the register change
+    _lost: dict[str, None] = field(default_factory=dict)  # set-ups that other directors own now, oldest first
     _last: int = 0
 
     def __len__(self) -> int:
-        return len(self._asked)
+        return len(self._pending)
 
     def lose(self, set_up: str) -> None:
-        """Another director owns this set-up: it plays, so its claim is no earlier attempt that never ran.
+        """Another director owns this set-up. It plays, so its claim must not be replaced as an earlier
+        attempt.
 
-        The run is renewed soon after; until then this alone keeps a second set-up from being sent.
+        The boot epoch is renewed soon after; until then only this prevents a second set-up.
         """
         self._lost[set_up] = None
-        while len(self._lost) > MOST_LOST:
+        while len(self._lost) > MAX_LOST_SET_UPS:
             del self._lost[next(iter(self._lost))]
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms."""
-        if isinstance(event, Want):
-            before = None if event.instead_of is None else event.instead_of.write()
-            return self._change(now, _Asked(event, before))
-        return self._came(now, self.registers.handle(now, event.event))
+        """Handle one event; `now` in ms."""
+        if isinstance(event, ClaimRequested):
+            before = None if event.replaces is None else event.replaces.write()
+            return self._change(now, _PendingClaim(event, before))
+        return self._carry_out_register(now, self.registers.handle(now, event.event))
 
-    def _change(self, now: float, asked: _Asked) -> list[Action]:
+    def _change(self, now: float, pending: _PendingClaim) -> list[Action]:
         self._last += 1
-        asked.change = self._last
-        self._asked[asked.change] = asked
-        want = asked.want
+        pending.change = self._last
+        self._pending[pending.change] = pending
+        request = pending.request
         change = rg.Change(
-            asked.change,
-            want.token,
-            want.replicas,
-            want.claim.write(),
-            want.expires,
-            want.within_ms,
-            asked.expected,
-            want.former_replicas,
+            pending.change,
+            request.token,
+            request.replicas,
+            request.claim.write(),
+            request.expires,
+            request.within_ms,
+            pending.expected,
+            request.former_replicas,
         )
-        return self._came(now, self.registers.handle(now, change))
+        return self._carry_out_register(now, self.registers.handle(now, change))
 
-    def _came(self, now: float, actions: list[rg.Action]) -> list[Action]:
-        out: list[Action] = []
+    def _carry_out_register(self, now: float, actions: list[rg.Action]) -> list[Action]:
+        results: list[Action] = []
         for action in actions:
             match action:
                 case rg.Decided(number, value):
-                    out += self._decided(now, self._asked.pop(number), value)
+                    results += self._decided(now, self._pending.pop(number), value)
                 case rg.NoQuorum(number):
-                    out.append(Unclaimed(self._asked.pop(number).want.number))
+                    results.append(ClaimUndecided(self._pending.pop(number).request.number))
                 case _:
-                    out.append(action)
-        return out
+                    results.append(action)
+        return results
 
-    def _decided(self, now: float, asked: _Asked, value: str) -> list[Action]:
-        want = asked.want
-        if value == want.claim.write():
-            return [Held(want.number)]
+    def _decided(self, now: float, pending: _PendingClaim, value: str) -> list[Action]:
+        request = pending.request
+        if value == request.claim.write():
+            return [Granted(request.number)]
         found = read_claim(value)
-        own = found is not None and (found.owner, found.run) == (self.name, self.run)
-        if own and found is not None and found.set_up not in self._lost and asked.tries < TRIES:
-            return self._change(now, _Asked(want, value, asked.tries + 1))
-        return [Elsewhere(want.number, found)]
+        own = found is not None and (found.owner, found.boot_epoch) == (self.name, self.boot_epoch)
+        if own and found is not None and found.set_up not in self._lost and pending.tries < MAX_TRIES:
+            return self._change(now, _PendingClaim(request, value, pending.tries + 1))
+        return [OwnedElsewhere(request.number, found)]
--- a/foxlift/recovery/route.py
+++ b/foxlift/recovery/route.py
@@ -1,22 +1,22 @@
-"""Where a request goes whose token another director, or an earlier run, has claimed. No I/O, no clock.
-
-    request   event                                       next      what is done
-    (none)    Wish, its owner is there                    PASSED    to the owner, unless it was passed already
-    (none)    Wish, its owner is gone, another succeeds   PASSED    to the successor, likewise
-    (none)    Wish, its owner is gone, this one succeeds  ASKS      the box what became of the set-up
-    (none)    Wish of an own earlier run                  ASKS      the same
-    PASSED    Answered                                    (none)
-    PASSED    NotPassed                                   (none)    Verdict: come back; of a hint: open
-    ASKS      yours                                       (none)    Verdict: shown, adopted by now
-    ASKS      another's                                   PASSED    to that one, unless it was passed already
-    ASKS      ended                                       (none)    Verdict: played
-    ASKS      never, by the process it was for             (none)    Verdict: open, in place of that claim
-    ASKS      never, by another one                        (none)    Verdict: failed, it may have run
-    ASKS      no answer, or it hears from the owner       (none)    Verdict: come back
-    ASKS      the box is no more                          (none)    Verdict: failed, it may have run
-
-A request makes one hop at most: the second director answers it or says that it cannot. Those who are told to
-come back are told times apart, so that what a death sends elsewhere does not come back at once.
+"""Which director answers a request whose token another director or epoch has claimed. No I/O, no clock.
+
+    request    event                                             next       what is done
+    (none)     RouteRequested, the owner is alive                FORWARDED  to the owner
+    (none)     RouteRequested, the owner is gone                 FORWARDED  to its successor
+    (none)     RouteRequested, this director succeeds it         QUERYING   the box is asked about the set-up
+    (none)     RouteRequested, claim of an own earlier epoch     QUERYING   the same
+    FORWARDED  ForwardAnswered                                   (none)
+    FORWARDED  ForwardFailed                                     (none)     COME_BACK; for a hint OPEN
+    QUERYING   "yours"                                           (none)     SHOW: the session is adopted
+    QUERYING   "other": another director owns it                 FORWARDED  to that one
+    QUERYING   "ended"                                           (none)     PLAYED
+    QUERYING   "never", from the box process it was for          (none)     OPEN, replacing the claim
+    QUERYING   "never", from another box process                 (none)     FAILED: it may have run
+    QUERYING   no response, or the box hears from the owner      (none)     COME_BACK
+    QUERYING   the box list no longer names the box              (none)     FAILED: it may have run
+
+A request is forwarded once at most: a request that was forwarded already gets NOT_HERE instead. Come-back
+times are random, so that viewers of a dead director do not all return at once.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 from foxlift.recovery.claims import Claim
 
-MOST = 10_000  # requests that are on their way at once
-BACK_LEAST_MS = 150.0
-BACK_MOST_MS = 750.0
+MAX_REQUESTS = 10_000  # being routed at once
+COME_BACK_MIN_MS = 150.0
+COME_BACK_MAX_MS = 750.0
 
 
-class Verdict(Enum):
-    """What becomes of a request that is not answered elsewhere."""
+class RouteOutcome(Enum):
+    """How a request is answered that is not forwarded."""
 
     SHOW = "shown here"
     OPEN = "opened here"
@@ -46,190 +46,193 @@
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """A request for what `claim` names; None: a register that cannot be read.
+class RouteRequested:
+    """A request for the session of `claim`; None: the register's value is unreadable.
 
-    `hint`: the claim is the request's own word, and not a register's. `passed`: by another director.
+    `hint`: the claim comes from the request itself, not from a register. `forwarded`: by another director.
     """
 
     request: int
     claim: Claim | None
     hint: bool = False
-    passed: bool = False
+    forwarded: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """The other director has answered it."""
+class ForwardAnswered:
+    """The other director has answered the request."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class NotPassed:
-    """It has not, or could not."""
+class ForwardFailed:
+    """The other director did not answer, or refused."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
-class BoxTold:
-    """What the box's process `boot` knows: `became` as in its answer.
+class BoxResponded:
+    """What the box process `boot` knows of the set-up; `set_up_state` as in its response.
 
-    What ended up to `since` (Unix ms, 0 for nothing) it may have forgotten.
+    It may have forgotten what ended up to `forgotten_up_to` (Unix ms, 0 for nothing).
     """
 
     request: int
-    became: str
+    set_up_state: str
     owner: str
-    since: int
+    forgotten_up_to: int
     boot: str
 
 
 @dataclass(frozen=True, slots=True)
-class BoxSilent:
-    """It did not answer, or refused; `gone`: the list does not name it any more."""
+class BoxFailed:
+    """The box did not respond, or refused. `gone`: the box list no longer names it."""
 
     request: int
     gone: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """The viewer has left."""
+class ViewerLeft:
+    """The viewer has closed the connection."""
 
     request: int
 
 
-Event = Wish | Answered | NotPassed | BoxTold | BoxSilent | Left
+Event = RouteRequested | ForwardAnswered | ForwardFailed | BoxResponded | BoxFailed | ViewerLeft
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class PassOn:
-    """Have another director answer it."""
+class Forward:
+    """Have another director answer the request."""
 
     request: int
     to: str
 
 
 @dataclass(frozen=True, slots=True)
-class AskBox:
-    """Take this set-up over at its box, if its owner is heard no more, and learn what became of it."""
+class QueryBox:
+    """Take this set-up over at its box, unless the box hears from its owner; learn what became of it."""
 
     request: int
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Answer it here. `instead_of`: the claim that was proved never to have run."""
+class Resolved:
+    """Answer the request here. `replaces`: a claim that is proved never to have run."""
 
     request: int
-    verdict: Verdict
+    outcome: RouteOutcome
     come_back_ms: float = 0.0
-    instead_of: Claim | None = None
+    replaces: Claim | None = None
 
 
-Action = PassOn | AskBox | Tell
+Action = Forward | QueryBox | Resolved
 
 
 @dataclass(slots=True)
 class Routes:
-    """Requests that are on their way. `is_gone`, `successor`: as this director sees the others.
+    """Requests that are being routed. `is_gone`, `is_reachable`, `successor`: this director's view of others.
 
-    `clocks_apart_ms`: how far the clock of a claim's writer and a box's may differ.
+    `clocks_apart_ms`: the largest difference between the clocks of a claim's writer and of a box.
     """
 
     name: str
     seed: int
     is_gone: Callable[[str], bool]
-    is_there: Callable[[str], bool]
+    is_reachable: Callable[[str], bool]
     successor: Callable[[str, str], str]
     clocks_apart_ms: int
-    _wishes: dict[int, Wish] = field(default_factory=dict)
+    _pending: dict[int, RouteRequested] = field(default_factory=dict)
     _random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
         self._random = random.Random(f"{self.seed} routes {self.name}")
 
     def __len__(self) -> int:
-        return len(self._wishes)
+        return len(self._pending)
 
     def knows(self, request: int) -> bool:
-        """Whether a request is on its way."""
-        return request in self._wishes
+        """Whether a request is being routed."""
+        return request in self._pending
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event in."""
-        if isinstance(event, Wish):
-            return self._wish(event)
-        wish = self._wishes.pop(event.request, None)
-        if wish is None:
+        """Handle one event."""
+        if isinstance(event, RouteRequested):
+            return self._route(event)
+        routed = self._pending.pop(event.request, None)
+        if routed is None:
             return []
         match event:
-            case NotPassed():
-                return self._back(wish)
-            case BoxTold():
-                return self._told(wish, event)
-            case BoxSilent(_, gone):
-                return [self._tell(wish, Verdict.FAILED)] if gone else self._back(wish)
+            case ForwardFailed():
+                return self._come_back(routed)
+            case BoxResponded():
+                return self._box_responded(routed, event)
+            case BoxFailed(_, gone):
+                return [self._resolve(routed, RouteOutcome.FAILED)] if gone else self._come_back(routed)
             case _:
                 return []
 
-    def _wish(self, wish: Wish) -> list[Action]:
-        claim = wish.claim
+    def _route(self, routed: RouteRequested) -> list[Action]:
+        claim = routed.claim
         if claim is None:
-            return [self._tell(wish, Verdict.FAILED)]
-        if len(self._wishes) >= MOST:
-            return self._back(wish)
+            return [self._resolve(routed, RouteOutcome.FAILED)]
+        if len(self._pending) >= MAX_REQUESTS:
+            return self._come_back(routed)
         if claim.owner == self.name:
-            return self._ask(wish, claim)
+            return self._query_box(routed, claim)
         if not self.is_gone(claim.owner):
-            if not self.is_there(claim.owner):
-                return self._back(wish)  # never heard of yet: whether it lives is not known
-            return self._pass(wish, claim.owner)
+            if not self.is_reachable(claim.owner):
+                return self._come_back(routed)  # no contact with it yet: it may be alive
+            return self._forward(routed, claim.owner)
         successor = self.successor(claim.owner, claim.box)
-        return self._ask(wish, claim) if successor == self.name else self._pass(wish, successor)
+        return self._query_box(routed, claim) if successor == self.name else self._forward(routed, successor)
 
-    def _pass(self, wish: Wish, to: str) -> list[Action]:
-        if wish.passed:
-            return [self._tell(wish, Verdict.NOT_HERE)]
-        self._wishes[wish.request] = wish
-        return [PassOn(wish.request, to)]
+    def _forward(self, routed: RouteRequested, to: str) -> list[Action]:
+        if routed.forwarded:
+            return [self._resolve(routed, RouteOutcome.NOT_HERE)]
+        self._pending[routed.request] = routed
+        return [Forward(routed.request, to)]
 
-    def _ask(self, wish: Wish, claim: Claim) -> list[Action]:
-        self._wishes[wish.request] = wish
-        return [AskBox(wish.request, claim)]
+    def _query_box(self, routed: RouteRequested, claim: Claim) -> list[Action]:
+        self._pending[routed.request] = routed
+        return [QueryBox(routed.request, claim)]
 
-    def _told(self, wish: Wish, told: BoxTold) -> list[Action]:
-        assert wish.claim is not None
-        match told.became:
+    def _box_responded(self, routed: RouteRequested, response: BoxResponded) -> list[Action]:
+        assert routed.claim is not None
+        match response.set_up_state:
             case "yours":
-                return [self._tell(wish, Verdict.SHOW)]
-            case "other" if told.owner != self.name:
-                return self._pass(wish, told.owner)
+                return [self._resolve(routed, RouteOutcome.SHOW)]
+            case "other" if response.owner != self.name:
+                return self._forward(routed, response.owner)
             case "ended":
-                return [self._tell(wish, Verdict.PLAYED)]
-            case "never" if told.boot == wish.claim.boot and (
-                not told.since or wish.claim.at > told.since + self.clocks_apart_ms
+                return [self._resolve(routed, RouteOutcome.PLAYED)]
+            case "never" if response.boot == routed.claim.boot and (
+                not response.forgotten_up_to
+                or routed.claim.written_at > response.forgotten_up_to + self.clocks_apart_ms
             ):
-                return [Tell(wish.request, Verdict.OPEN, instead_of=wish.claim)]
+                return [Resolved(routed.request, RouteOutcome.OPEN, replaces=routed.claim)]
             case _:
-                return [self._tell(wish, Verdict.FAILED)]
+                return [self._resolve(routed, RouteOutcome.FAILED)]
 
-    def _back(self, wish: Wish) -> list[Action]:
-        if wish.hint:
-            return [self._tell(wish, Verdict.OPEN)]
-        if wish.passed:
-            return [self._tell(wish, Verdict.NOT_HERE)]
-        return [Tell(wish.request, Verdict.COME_BACK, self.come_back_ms())]
+    def _come_back(self, routed: RouteRequested) -> list[Action]:
+        if routed.hint:
+            return [self._resolve(routed, RouteOutcome.OPEN)]
+        if routed.forwarded:
+            return [self._resolve(routed, RouteOutcome.NOT_HERE)]
+        return [Resolved(routed.request, RouteOutcome.COME_BACK, self.come_back_ms())]
 
     def come_back_ms(self) -> float:
-        """After how long a viewer is to come back: drawn anew for each."""
-        return self._random.uniform(BACK_LEAST_MS, BACK_MOST_MS)
-
-    def _tell(self, wish: Wish, verdict: Verdict) -> Tell:
-        if wish.hint and verdict in (Verdict.FAILED, Verdict.PLAYED):
-            verdict = Verdict.OPEN  # a hint settles nothing: the register does, or the class is free
-        return Tell(wish.request, verdict)
+        """How long a viewer is told to wait before it comes back; random for each."""
+        return self._random.uniform(COME_BACK_MIN_MS, COME_BACK_MAX_MS)
+
+    def _resolve(self, routed: RouteRequested, outcome: RouteOutcome) -> Resolved:
+        if routed.hint and outcome in (RouteOutcome.FAILED, RouteOutcome.PLAYED):
+            outcome = (
+                RouteOutcome.OPEN
+            )  # a hint proves nothing: the register decides, unless the class is free of charge
+        return Resolved(routed.request, outcome)
--- a/foxlift/recovery/takeover.py
+++ b/foxlift/recovery/takeover.py
@@ -1,34 +1,35 @@
-"""Which directors' work at which boxes this one takes over, and when. No I/O, no clock, random from a seed.
-
-For each director that is gone, each box of the list has one successor: the first of those there by rendezvous
-of both names. So a dead director's work is spread over the survivors by box, and costs one request a box.
-
-    work (of, box)  event                               next      what is done
-    (none)          of is gone, this one is first       WAITS     a while drawn from the seed
-    WAITS           due, fewer than MOST_OUT are out    ASKED     Take
-    ASKED           Took, more is there                 WAITS     the next part, after a while
-    ASKED           Took, of this director itself       DONE
-    ASKED           Took                                WAITS     to sweep: asks once more, for any run
-    ASKED           Took, or the box hears from of,     DONE
-                    as the MAX_SWEEPS-th sweep
-    ASKED           NotTaken                            WAITS     a while that doubles
-    WAITS           another is first by now             (none)
-    any             of is back in a later run           (none)
-    any             the box left the list               (none)
-
-A view is a hint and never a proof: it says when to ask. The box is asked to compare and set, and refuses
-where it still hears from the old owner, unless the asker is `certain`: the old owner has left in order, or
-more than half of the fleet has spoken to the asker since it believed the other dead, and some probes have
-passed since. So two halves of a cut fleet that both reach the boxes take nothing from each other, and a
-director that stands still loses its work only to a majority.
-
-A director may begin a run and die before any other has heard of that run. So one that stays gone is swept:
-after a while the box is asked for whatever it has of it, in any run, and refuses where it hears from it. The
-waits double, and MAX_SWEEPS of them bound what a death costs.
-
-A director's own earlier run is taken over in the same way, at each box, before anything else of it is done.
-One that was never heard of since this director's start counts as gone after UNKNOWN_MS: a fleet that was
-killed whole finds the sessions of those who do not come back at the boxes.
+"""Which directors' sessions at which boxes this director takes over, and when. No I/O, no clock.
+
+Each box has one successor for each director that is gone: the first of the reachable directors by rendezvous
+hashing of both names. So a dead director's sessions are spread over the survivors box by box, at one request
+a box.
+
+    work         event                                       next        what is done
+    (none)       the owner is gone, this one is successor    WAITING     a random delay begins
+    WAITING      due, fewer than MAX_CONCURRENT requested    REQUESTED   RequestTakeover
+    REQUESTED    TakenOver, the box has more sessions        WAITING     the next part, after a delay
+    REQUESTED    TakenOver, the owner is this director       DONE
+    REQUESTED    TakenOver                                   WAITING     for a sweep: asks for any epoch
+    REQUESTED    TakenOver or ALIVE in sweep MAX_SWEEPS      DONE
+    REQUESTED    TakeoverFailed                              WAITING     a back-off that doubles
+    WAITING      another director has become successor       (none)
+    any          the owner is back in a later epoch          (none)
+    any          the box list no longer names the box        (none)
+
+The view of the peers only says when to ask a box. The box compares and sets: it refuses while it still hears
+from the old owner, unless the request is `certain`. It is certain where the owner has announced that it
+leaves, or where more than half of the fleet has contacted this director since it believed the owner dead, and
+some probe periods have passed since. So two halves of a partitioned fleet that both reach the boxes take
+nothing from each other, and a director that stands still loses its sessions only to a majority.
+
+A director may begin a boot epoch and die before any other learns of that epoch. So the boxes of a director
+that stays gone are swept: after a delay each box is asked for its sessions in any epoch, and refuses where it
+hears from the owner. The delays double, and there are MAX_SWEEPS of them at most.
+
+A director's own earlier epoch is taken over in the same way, at each box, before anything else is done there.
+
+A director without contact since this one's start counts as gone after UNKNOWN_PEER_TIMEOUT_MS: after all
+directors were killed, the sessions of those that do not return are found at the boxes.
 """
 
 from __future__ import annotations
@@ -41,19 +42,19 @@
 from foxlift.consensus.rendezvous import is_first, replicas_of
 from foxlift.peers.messages import PeerState
 
-MOST_OUT = 4  # takes out at once
-SPREAD_MS = 200.0  # the first take of a work is drawn from so long
-NEXT_MS = 30.0  # between parts of one box's work, and half of it more by chance
-AGAIN_MS = 250.0  # after a take that had no answer or was refused; doubles
-AGAIN_MOST_MS = 1500.0
-CERTAIN_MS = 3000.0  # after a majority spoke that still counts as there, and at least
-CERTAIN_PERIODS = 8  # so many probes: a cut that has healed shows before anybody is sure
-UNKNOWN_MS = 20_000.0
+MAX_CONCURRENT = 4  # requests in progress at once
+FIRST_DELAY_MAX_MS = 200.0  # upper end of the random delay of a work's first request
+NEXT_PART_MS = 30.0  # between parts of one box's sessions, plus up to half of it at random
+RETRY_MIN_MS = 250.0  # first back-off after a failed request; doubles
+RETRY_MAX_MS = 1500.0
+CERTAIN_MS = 3000.0  # minimum time from contact with a majority until a death is certain
+CERTAIN_PERIODS = 8  # the same in probe periods: a healed partition shows before a death is certain
+UNKNOWN_PEER_TIMEOUT_MS = 20_000.0
 MAX_SWEEPS = 4
 
 
-class Why(Enum):
-    """Why a take brought nothing."""
+class TakeoverFailure(Enum):
+    """Why a takeover brought no sessions."""
 
     SILENT = "no answer"
     ALIVE = "the box hears from its owner"
@@ -61,209 +62,222 @@
 
 
 class _State(Enum):
-    WAITS = "waits"
-    ASKED = "asked"
+    WAITING = "waits"
+    REQUESTED = "asked"
     DONE = "done"
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Started:
-    """This director begins a run: what earlier runs of it left at boxes is its own. `run` is the new one."""
+class EpochBegun:
+    """This director is in a new boot epoch: sessions of its earlier epochs at boxes are to be taken over."""
 
-    run: int
+    boot_epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What is believed of a peer now; of all that are there, itself first."""
+class PeerChanged:
+    """The belief about a peer has changed. `reachable`: all reachable directors, this one first."""
 
     peer: str
     state: PeerState
-    run: int
-    there: tuple[str, ...]
+    boot_epoch: int
+    reachable: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A peer has spoken to this director itself."""
+class PeerContacted:
+    """A message of this peer has arrived."""
 
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """The boxes of the list."""
+class BoxesListed:
+    """The box list has changed."""
 
     boxes: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
-    """The box has answered; `more`: it holds more that is to be taken."""
+class TakenOver:
+    """The box has handed over what it had; `more`: it has more sessions to hand over."""
 
     work: int
     more: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class NotTaken:
-    """It has not, or refused."""
+class TakeoverFailed:
+    """The box did not respond, or refused."""
 
     work: int
-    why: Why
+    failure: TakeoverFailure
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """A wait of a work is over."""
+class AttemptDue:
+    """The delay of a work has ended."""
 
     work: int
-    turn: int
+    round_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class UnknownDue:
-    """Whoever was not heard of until now counts as gone."""
+class UnknownPeersDue:
+    """Directors without contact until now count as gone."""
 
 
-Event = Started | Seen | Heard | Listed | Took | NotTaken | Due | UnknownDue
+Event = (
+    EpochBegun
+    | PeerChanged
+    | PeerContacted
+    | BoxesListed
+    | TakenOver
+    | TakeoverFailed
+    | AttemptDue
+    | UnknownPeersDue
+)
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Take:
-    """Ask the box for what `of` owns there in runs up to `upto` (0: in whichever the box has seen last)."""
+class RequestTakeover:
+    """Ask the box for sessions of `owner` up to `up_to_epoch` (0: the latest epoch that the box knows)."""
 
     work: int
     box: str
-    of: str
-    upto: int
+    owner: str
+    up_to_epoch: int
     certain: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Tell this event after so long."""
+    """Deliver `event` after `delay_ms`."""
 
     delay_ms: float
-    event: Due | UnknownDue
+    event: AttemptDue | UnknownPeersDue
 
 
-Action = Take | StartTimer
+Action = RequestTakeover | StartTimer
 
 
 @dataclass(slots=True)
-class _Gone:
-    run: int
+class _GoneDirector:
+    boot_epoch: int
     since: float
     left: bool = False
-    heard: int = 0  # who has spoken since: a bit for each name, for thousands may be dead at once
-    sure_at: float | None = None  # when those and this one were a majority
+    contacted: int = 0  # who has made contact since: a bit for each name, as thousands may be dead at once
+    certain_since: float | None = None  # when those and this director became a majority
 
 
 @dataclass(slots=True)
 class _Work:
     number: int
-    of: str
+    owner: str
     box: str
-    state: _State = _State.WAITS
-    turn: int = 0
-    due: bool = False  # waits for one of the few that are out
-    wait_ms: float = AGAIN_MS
-    sweeps: int = 0  # begun: what is asked for now is what the box has in any run
+    state: _State = _State.WAITING
+    round_id: int = 0
+    due: bool = False  # its delay has ended; waits until fewer than MAX_CONCURRENT are in progress
+    wait_ms: float = RETRY_MIN_MS
+    sweeps: int = 0  # begun; with one or more the box is asked for sessions of any epoch
 
 
 @dataclass(slots=True)
 class Takeovers:
-    """One director's part. `names`: of the settings, its own among them."""
+    """One director's part. `names`: all directors of the settings."""
 
     name: str
     names: frozenset[str]
     seed: int
     period_ms: float = 500.0  # between a director's probes
     _boxes: frozenset[str] = frozenset()
-    _there: tuple[str, ...] = ()
-    _gone: dict[str, _Gone] = field(default_factory=dict)
-    _heard: set[str] = field(default_factory=set)
+    _reachable: tuple[str, ...] = ()
+    _gone: dict[str, _GoneDirector] = field(default_factory=dict)
+    _known: set[str] = field(default_factory=set)
     _work: dict[tuple[str, str], _Work] = field(default_factory=dict)
     _by_number: dict[int, _Work] = field(default_factory=dict)
-    _last: int = 0
+    _last_number: int = 0
     _bit_of: dict[str, int] = field(init=False)
     _random: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
         self._bit_of = {name: 1 << place for place, name in enumerate(sorted(self.names))}
         self._random = random.Random(f"{self.seed} takeovers {self.name}")
-        self._there = (self.name,)
+        self._reachable = (self.name,)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms on a clock that never steps back."""
+        """Handle one event; `now` in ms on a clock that never steps back."""
         match event:
-            case Started(run):
-                return self._started(now, run)
-            case Seen():
-                return self._seen(now, event)
-            case Heard(peer):
-                self._heard_of(now, peer)
+            case EpochBegun(boot_epoch):
+                return self._epoch_begun(now, boot_epoch)
+            case PeerChanged():
+                return self._peer_changed(now, event)
+            case PeerContacted(peer):
+                self._contacted(now, peer)
                 return []
-            case Listed(boxes):
+            case BoxesListed(boxes):
                 self._boxes = boxes
-                return self._plan()
-            case UnknownDue():
-                for name in sorted(self.names - self._heard - {self.name}):
-                    self._gone.setdefault(name, _Gone(0, now))
-                return self._plan()
-            case Due(number, turn):
+                return self._update_works()
+            case UnknownPeersDue():
+                for name in sorted(self.names - self._known - {self.name}):
+                    self._gone.setdefault(name, _GoneDirector(0, now))
+                return self._update_works()
+            case AttemptDue(number, round_id):
                 work = self._by_number.get(number)
-                if work is None or work.turn != turn or work.state is not _State.WAITS:
+                if work is None or work.round_id != round_id or work.state is not _State.WAITING:
                     return []
                 work.due = True
-                return self._let_out(now)
-            case Took(number, more):
-                return self._took(now, number, more)
-            case NotTaken(number, why):
-                return self._not_taken(now, number, why)
-
-    def _heard_of(self, now: float, peer: str) -> None:
-        """A peer that speaks after a death counts towards the majority that makes it certain."""
+                return self._send_due(now)
+            case TakenOver(number, more):
+                return self._taken_over(now, number, more)
+            case TakeoverFailed(number, failure):
+                return self._failed(now, number, failure)
+
+    def _contacted(self, now: float, peer: str) -> None:
+        """A peer that sends a message after a death counts towards the majority that makes it certain."""
         bit = self._bit_of.get(peer, 0)
         for name, gone in self._gone.items():
-            if peer != name and gone.sure_at is None:
-                gone.heard |= bit
-                if 2 * (1 + gone.heard.bit_count()) > len(self.names):
-                    gone.sure_at = now
+            if peer != name and gone.certain_since is None:
+                gone.contacted |= bit
+                if 2 * (1 + gone.contacted.bit_count()) > len(self.names):
+                    gone.certain_since = now
 
-    def _succeeds(self, of: str, box: str) -> bool:
+    def _succeeds(self, owner: str, box: str) -> bool:
         """Whether `successor` is this director, without ranking all others."""
-        others = (name for name in self._there if name != of)
-        # the second question is asked of the few that pass the first
-        return is_first(f"{of}/{box}", self.name, others) and self.successor(of, box) == self.name
+        others = (name for name in self._reachable if name != owner)
+        # the full ranking is computed only for the few works that pass the first check
+        return is_first(f"{owner}/{box}", self.name, others) and self.successor(owner, box) == self.name
 
-    def successor(self, of: str, box: str) -> str:
-        """Who takes over what `of` has at a box, as this director sees it."""
-        candidates = [name for name in self._there if name != of] or [self.name]
-        return replicas_of(f"{of}/{box}", candidates, 1)[0]
+    def successor(self, owner: str, box: str) -> str:
+        """Which director takes over the sessions of `owner` at a box, in this director's view."""
+        candidates = [name for name in self._reachable if name != owner] or [self.name]
+        return replicas_of(f"{owner}/{box}", candidates, 1)[0]
 
     def certain(self, now: float, name: str) -> bool:
-        """Whether its end is sure enough to go before a box's hearing from it."""
+        """Whether a director is dead for certain, so that a box hands over even while it hears from it."""
         gone = self._gone.get(name)
         if gone is None or gone.left:
             return gone is not None
-        return gone.run > 0 and gone.sure_at is not None and now - gone.sure_at >= self._certain_ms
+        return (
+            gone.boot_epoch > 0
+            and gone.certain_since is not None
+            and now - gone.certain_since >= self._certain_ms
+        )
 
     @property
     def _certain_ms(self) -> float:
-        """So long after a majority spoke what is believed of a death is certain."""
+        """How long after contact with a majority a death becomes certain."""
         return max(CERTAIN_MS, CERTAIN_PERIODS * self.period_ms)
 
     def own_done(self, box: str) -> bool:
-        """Whether what earlier runs of this director left at a box is this run's by now."""
+        """Whether the sessions of earlier epochs at this box belong to the present one now."""
         work = self._work.get((self.name, box))
         return work is not None and work.state is _State.DONE
 
     def is_gone(self, name: str) -> bool:
-        """Whether its work is to be taken over."""
+        """Whether a director's sessions are to be taken over."""
         return name in self._gone
 
     def sizes(self) -> dict[str, int]:
@@ -271,96 +285,102 @@
         return {"gone": len(self._gone), "work": len(self._work)}
 
     # ---- What is to be done -------------------------------------------------------------------------------
-    def _started(self, now: float, run: int) -> list[Action]:
+    def _epoch_begun(self, now: float, boot_epoch: int) -> list[Action]:
         first = self.name not in self._gone
-        self._gone[self.name] = _Gone(run - 1, now, left=True)  # nobody is as certain as itself
-        self._forget(lambda work: work.of == self.name)
-        wait: list[Action] = [StartTimer(UNKNOWN_MS, UnknownDue())] if first else []
-        return [*wait, *self._plan()]
-
-    def _seen(self, now: float, seen: Seen) -> list[Action]:
-        self._there = seen.there
+        # certain: no one else knows better whether this director has ended
+        self._gone[self.name] = _GoneDirector(boot_epoch - 1, now, left=True)
+        self._forget(lambda work: work.owner == self.name)
+        wait: list[Action] = [StartTimer(UNKNOWN_PEER_TIMEOUT_MS, UnknownPeersDue())] if first else []
+        return [*wait, *self._update_works()]
+
+    def _peer_changed(self, now: float, seen: PeerChanged) -> list[Action]:
+        self._reachable = seen.reachable
         if seen.peer == self.name or seen.peer not in self.names:
             if seen.peer != self.name:
-                self._gone.pop(seen.peer, None)  # the settings name it no more
-            return self._plan()
+                self._gone.pop(seen.peer, None)  # the settings no longer name it
+            return self._update_works()
         known = self._gone.get(seen.peer)
         if seen.state in (PeerState.DEAD, PeerState.LEFT):
-            self._heard.add(seen.peer)
+            self._known.add(seen.peer)
             left = seen.state is PeerState.LEFT
-            if known is None or known.run < seen.run or (left and not known.left):
-                self._gone[seen.peer] = _Gone(seen.run, now, left)
-                self._forget(lambda work: work.of == seen.peer)
+            if known is None or known.boot_epoch < seen.boot_epoch or (left and not known.left):
+                self._gone[seen.peer] = _GoneDirector(seen.boot_epoch, now, left)
+                self._forget(lambda work: work.owner == seen.peer)
         elif seen.state in (PeerState.ALIVE, PeerState.SUSPECTED):
-            self._heard.add(seen.peer)
+            self._known.add(seen.peer)
             if known is not None:
-                # refuted, or back in a later run: then its own next run takes what is left
+                # it refuted, or is back in a later epoch, which takes over what is left
                 del self._gone[seen.peer]
-        return self._plan()
+        return self._update_works()
 
-    def _plan(self) -> list[Action]:
-        """Works that are this director's by now, and none that are not."""
+    def _update_works(self) -> list[Action]:
+        """Add works that this director is successor for, and remove all others."""
         wanted = {
-            (of, box)
-            for of in self._gone
+            (owner, box)
+            for owner in self._gone
             for box in self._boxes
-            if of == self.name or self._succeeds(of, box)
+            if owner == self.name or self._succeeds(owner, box)
         }
-        self._forget(lambda work: (work.of, work.box) not in wanted)
+        self._forget(lambda work: (work.owner, work.box) not in wanted)
         out: list[Action] = []
         for key in sorted(wanted - self._work.keys()):
-            self._last += 1
-            work = self._work[key] = self._by_number[self._last] = _Work(self._last, *key)
-            out.append(self._wait(work, SPREAD_MS * self._random.random()))
+            self._last_number += 1
+            work = self._work[key] = self._by_number[self._last_number] = _Work(self._last_number, *key)
+            out.append(self._schedule(work, FIRST_DELAY_MAX_MS * self._random.random()))
         return out
 
     def _forget(self, which: Callable[[_Work], bool]) -> None:
         for key in [key for key, work in self._work.items() if which(work)]:
             del self._by_number[self._work.pop(key).number]
 
-    def _wait(self, work: _Work, delay_ms: float) -> StartTimer:
-        work.state, work.turn, work.due = _State.WAITS, work.turn + 1, False
-        return StartTimer(delay_ms, Due(work.number, work.turn))
+    def _schedule(self, work: _Work, delay_ms: float) -> StartTimer:
+        work.state, work.round_id, work.due = _State.WAITING, work.round_id + 1, False
+        return StartTimer(delay_ms, AttemptDue(work.number, work.round_id))
 
-    def _let_out(self, now: float) -> list[Action]:
-        """Works whose wait is over, own ones first, few at a time."""
-        out = sum(work.state is _State.ASKED for work in self._work.values())
+    def _send_due(self, now: float) -> list[Action]:
+        """Send requests whose delay has ended, own sessions first, up to MAX_CONCURRENT."""
+        out = sum(work.state is _State.REQUESTED for work in self._work.values())
         due = [work for work in self._work.values() if work.due]
         actions: list[Action] = []
-        for work in sorted(due, key=lambda work: (work.of != self.name, work.number))[: MOST_OUT - out]:
-            work.state, work.due = _State.ASKED, False
-            upto, certain = self._gone[work.of].run, self.certain(now, work.of)
+        for work in sorted(due, key=lambda work: (work.owner != self.name, work.number))[
+            : MAX_CONCURRENT - out
+        ]:
+            work.state, work.due = _State.REQUESTED, False
+            up_to_epoch, certain = self._gone[work.owner].boot_epoch, self.certain(now, work.owner)
             if work.sweeps:
-                upto, certain = 0, False
-            actions.append(Take(work.number, work.box, work.of, upto, certain))
+                up_to_epoch, certain = 0, False
+            actions.append(RequestTakeover(work.number, work.box, work.owner, up_to_epoch, certain))
         return actions
 
-    def _took(self, now: float, number: int, more: bool) -> list[Action]:
+    def _taken_over(self, now: float, number: int, more: bool) -> list[Action]:
         work = self._by_number.get(number)
-        if work is None or work.state is not _State.ASKED:
-            return self._let_out(now)
-        work.wait_ms = AGAIN_MS
+        if work is None or work.state is not _State.REQUESTED:
+            return self._send_due(now)
+        work.wait_ms = RETRY_MIN_MS
         if more:
-            return [self._wait(work, NEXT_MS * (1 + 0.5 * self._random.random())), *self._let_out(now)]
-        return [*self._swept(work), *self._let_out(now)]
-
-    def _swept(self, work: _Work) -> list[Action]:
-        """Ask once more later on, or leave it at that."""
-        if work.of == self.name or work.sweeps >= MAX_SWEEPS:
+            return [
+                self._schedule(work, NEXT_PART_MS * (1 + 0.5 * self._random.random())),
+                *self._send_due(now),
+            ]
+        return [*self._schedule_sweep(work), *self._send_due(now)]
+
+    def _schedule_sweep(self, work: _Work) -> list[Action]:
+        """Schedule the next sweep, or finish the work."""
+        if work.owner == self.name or work.sweeps >= MAX_SWEEPS:
             work.state = _State.DONE
             return []
         wait = self._certain_ms * 2**work.sweeps
         work.sweeps += 1
-        return [self._wait(work, wait * (0.75 + 0.5 * self._random.random()))]
+        return [self._schedule(work, wait * (0.75 + 0.5 * self._random.random()))]
 
-    def _not_taken(self, now: float, number: int, why: Why) -> list[Action]:
+    def _failed(self, now: float, number: int, failure: TakeoverFailure) -> list[Action]:
         work = self._by_number.get(number)
-        if work is None or work.state is not _State.ASKED:
-            return self._let_out(now)
-        if why is Why.FENCED and work.of == self.name:
-            work.state = _State.DONE  # a later run of this director is at work there already
-            return self._let_out(now)
-        if why is Why.ALIVE and work.sweeps:
-            return [*self._swept(work), *self._let_out(now)]
-        wait, work.wait_ms = work.wait_ms, min(work.wait_ms * 2, AGAIN_MOST_MS)
-        return [self._wait(work, wait * (0.5 + 0.5 * self._random.random())), *self._let_out(now)]
+        if work is None or work.state is not _State.REQUESTED:
+            return self._send_due(now)
+        if failure is TakeoverFailure.FENCED and work.owner == self.name:
+            work.state = _State.DONE  # a later epoch of this director is active there already
+            return self._send_due(now)
+        if failure is TakeoverFailure.ALIVE and work.sweeps:
+            return [*self._schedule_sweep(work), *self._send_due(now)]
+        wait, work.wait_ms = work.wait_ms, min(work.wait_ms * 2, RETRY_MAX_MS)
+        return [self._schedule(work, wait * (0.5 + 0.5 * self._random.random())), *self._send_due(now)]
--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -138,7 +138,7 @@
         claim = rc.Claim(process.name, process.run, BOX, set_up, self.now, boot)
         process.pending[self.numbers] = claim
         replicas = replicas_of(TOKEN, self.names)
-        want = rc.Want(self.numbers, TOKEN, claim, EXPIRES, 1000.0, replicas, instead_of)
+        want = rc.ClaimRequested(self.numbers, TOKEN, claim, EXPIRES, 1000.0, replicas, instead_of)
         self.do_claims(process, process.claims.handle(self.now, want))
 
     def of(self, process: Process, then: Callable[[], None]) -> Callable[[], None]:
@@ -153,14 +153,14 @@
     def do_claims(self, process: Process, actions: list[rc.Action]) -> None:
         for action in actions:
             match action:
-                case rc.Held(number):
+                case rc.Granted(number):
                     claim = process.pending.pop(number)
                     process.spent = True
                     self.send(f"set-up {claim.set_up}", lambda c=claim: self.set_up_comes(process, c))  # type: ignore[misc]
-                case rc.Elsewhere(number, found):
+                case rc.OwnedElsewhere(number, found):
                     process.pending.pop(number, None)
-                    self.route(process, rt.Wish(number, found))
-                case rc.Unclaimed(number):
+                    self.route(process, rt.RouteRequested(number, found))
+                case rc.ClaimUndecided(number):
                     process.pending.pop(number, None)
                 case rg.Send():
                     self.send("ask", lambda s=action: self.replica_asked(process, s))  # type: ignore[misc]
@@ -171,7 +171,7 @@
 
     def register(self, process: Process, event: rg.Event) -> None:
         assert not isinstance(event, rg.Change)
-        self.do_claims(process, process.claims.handle(self.now, rc.OfRegister(event)))
+        self.do_claims(process, process.claims.handle(self.now, rc.RegisterProgress(event)))
 
     def replica_asked(self, process: Process, send: rg.Send) -> None:
         if not self.processes[send.to].up:
@@ -193,16 +193,16 @@
     def route(self, process: Process, event: rt.Event) -> None:
         for action in process.routes.handle(event):
             match action:
-                case rt.AskBox(request, claim):
+                case rt.QueryBox(request, claim):
                     self.send(f"take {claim.set_up}", lambda r=request, c=claim: self.take(process, r, c))  # type: ignore[misc]
-                case rt.Tell(_, verdict, _, instead_of):
+                case rt.Resolved(_, verdict, _, instead_of):
                     single = not process.spent and not process.pending  # the rest would join
-                    if verdict is rt.Verdict.OPEN and process.asked < 5 and single:
+                    if verdict is rt.RouteOutcome.OPEN and process.asked < 5 and single:
                         self.want(process, instead_of)
 
     # ---- The box ------------------------------------------------------------------------------------------
     def set_up_comes(self, process: Process, claim: rc.Claim) -> None:
-        if self.owners.fenced(claim.owner, claim.run):
+        if self.owners.fenced(claim.owner, claim.boot_epoch):
             return
         if self.asks_boot and claim.boot != str(self.boots):
             return
@@ -211,10 +211,10 @@
         def done() -> None:
             if boots != self.boots or claim.set_up in self.ran:
                 return
-            if self.done_looks_again and self.owners.fenced(claim.owner, claim.run):
+            if self.done_looks_again and self.owners.fenced(claim.owner, claim.boot_epoch):
                 return
             self.ran.append(claim.set_up)
-            self.owners.begin(claim.set_up, claim.owner, claim.run, self.now)
+            self.owners.begin(claim.set_up, claim.owner, claim.boot_epoch, self.now)
             self.send("started", self.of(process, lambda: process.playing.add(claim.set_up)))
 
         self.send(f"done {claim.set_up}", done)
@@ -223,13 +223,13 @@
         """A take may come from a process that is dead by now; `certain` as it pleases."""
         owners = self.owners
         own = claim.owner == process.name
-        if owners.fenced(process.name, process.run) or (own and claim.run >= process.run):
+        if owners.fenced(process.name, process.run) or (own and claim.boot_epoch >= process.run):
             return
         if not own and claim.owner in owners.streams and not self.any():
             return
-        taken = owners.take(claim.owner, claim.run, process.name, process.run, self.now, claim.set_up)
+        taken = owners.take(claim.owner, claim.boot_epoch, process.name, process.run, self.now, claim.set_up)
         became, owner = owners.became(claim.set_up, process.name)
-        told = rt.BoxTold(request, became, owner, owners.forgot_ms, str(self.boots))
+        told = rt.BoxResponded(request, became, owner, owners.forgot_ms, str(self.boots))
 
         def heard() -> None:
             process.playing |= set(taken.set_ups)
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -33,7 +33,7 @@
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
     there = tuple(name for name in names if name not in set(dead))
     for name in dead:
-        machine.handle(0.0, takeover.Seen(name, PeerState.DEAD, RUN, there))
+        machine.handle(0.0, takeover.PeerChanged(name, PeerState.DEAD, RUN, there))
     return machine
 
 
@@ -53,7 +53,7 @@
     names = NAMES[: draw.randrange(2, 12)]
     dead = draw.sample(names[1:], draw.randrange(1, len(names)))
     machine = after_deaths(names, dead)
-    asked = machine.handle(0.0, takeover.Listed(servers(20)))
+    asked = machine.handle(0.0, takeover.BoxesListed(servers(20)))
     wanted = {(of, box) for of in dead for box in servers(20) if machine.successor(of, box) == names[0]}
     assert machine._work.keys() == wanted
     assert sum(isinstance(action, takeover.StartTimer) for action in asked) == len(wanted)
@@ -61,7 +61,7 @@
 
 def test_a_change_of_the_view_ranks_few_names_a_server(monkeypatch: pytest.MonkeyPatch) -> None:
     machine = after_deaths(NAMES, NAMES[-1:])
-    machine.handle(0.0, takeover.Listed(servers(100)))
+    machine.handle(0.0, takeover.BoxesListed(servers(100)))
     ranked = 0
 
     def counted(key: str, name: str) -> bytes:
@@ -71,7 +71,7 @@
 
     rank = rendezvous.rank
     monkeypatch.setattr(rendezvous, "rank", counted)
-    machine.handle(0.0, takeover.Seen(NAMES[1], PeerState.ALIVE, RUN + 1, tuple(NAMES[:-1])))
+    machine.handle(0.0, takeover.PeerChanged(NAMES[1], PeerState.ALIVE, RUN + 1, tuple(NAMES[:-1])))
     assert ranked < 100 * 100  # all names for each of 100 servers are 420,000
 
 
@@ -81,7 +81,7 @@
     try:
         before = tracemalloc.get_traced_memory()[0]
         for name in NAMES[1:2100]:
-            machine.handle(1.0, takeover.Heard(name))
+            machine.handle(1.0, takeover.PeerContacted(name))
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
@@ -93,9 +93,9 @@
     machine = after_deaths(names, names[-1:])
     later = takeover.CERTAIN_MS + takeover.CERTAIN_PERIODS * machine.period_ms
     for name in (names[1], names[1], names[2], names[2], "of no settings", names[-1]):
-        machine.handle(1.0, takeover.Heard(name))
+        machine.handle(1.0, takeover.PeerContacted(name))
     assert not machine.certain(1.0 + later, names[-1])
-    machine.handle(1.0, takeover.Heard(names[3]))
+    machine.handle(1.0, takeover.PeerContacted(names[3]))
     assert machine.certain(1.0 + later, names[-1])
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,8 +12,8 @@
 
 from foxlift.peers.messages import PeerState as PeerState
 from foxlift.recovery import claims as rc
+from foxlift.recovery import disk_check as dc
 from foxlift.recovery import route as rt
-from foxlift.recovery import standing as st
 from foxlift.recovery import takeover as tk
 from foxlift.standins.owners import Owners, Taken
 
@@ -60,9 +60,11 @@
 class Rash(rt.Routes):
     """A process of the box that the set-up was not for is believed all the same."""
 
-    def _told(self, wish: rt.Wish, told: rt.BoxTold) -> list[rt.Action]:
+    def _box_responded(self, wish: rt.RouteRequested, told: rt.BoxResponded) -> list[rt.Action]:
         boot = wish.claim.boot if wish.claim is not None else ""
-        return super()._told(wish, rt.BoxTold(told.request, told.became, told.owner, 0, boot))
+        return super()._box_responded(
+            wish, rt.BoxResponded(told.request, told.set_up_state, told.owner, 0, boot)
+        )
 
 
 class Sameness(rc.PaidClaims):
@@ -70,8 +72,8 @@
 
     def _decided(self, now: float, asked: Any, value: str) -> list[rc.Action]:
         found = rc.read_claim(value)
-        if found is not None and found.owner == self.name and value != asked.want.claim.write():
-            return self._change(now, type(asked)(asked.want, value, 2))
+        if found is not None and found.owner == self.name and value != asked.request.claim.write():
+            return self._change(now, type(asked)(asked.request, value, 2))
         return super()._decided(now, asked, value)
 
 
@@ -79,7 +81,7 @@
     """Nobody is asked."""
 
     def handle(self, now: float, event: rc.Event) -> list[rc.Action]:
-        return [rc.Held(event.number)] if isinstance(event, rc.Want) else []
+        return [rc.Granted(event.number)] if isinstance(event, rc.ClaimRequested) else []
 
 
 @pytest.mark.parametrize(
@@ -147,7 +149,7 @@
             for p in self.processes.values()
         )
         value = rc.read_claim(self.store["value"] or "")
-        held = None if value is None else (value.owner, value.run, value.set_up)
+        held = None if value is None else (value.owner, value.boot_epoch, value.set_up)
         old = value is not None and value.boot == str(self.boots)
         sessions = tuple(sorted((s, o.name, o.run) for s, o in self.owners.sessions.items()))
         fences = tuple(sorted(self.owners.fences.items()))
@@ -193,13 +195,15 @@
 
     def want(number: int) -> list[rc.Action]:
         claim = rc.Claim("d0", 1, BOX, f"d0.1-{number}-0", 1000, "b0#1")
-        return claims.handle(0.0, rc.Want(number, "t", claim, 10**9, 1000.0, ("d0",)))
+        return claims.handle(0.0, rc.ClaimRequested(number, "t", claim, 10**9, 1000.0, ("d0",)))
 
-    assert want(1) == [rc.Held(1)]
+    assert want(1) == [rc.Granted(1)]
     if told:
         claims.lose("d0.1-1-0")
     (answer,) = want(2)
-    assert isinstance(answer, rc.Elsewhere if told else rc.Held)  # without the guard: set up a second time
+    assert isinstance(
+        answer, rc.OwnedElsewhere if told else rc.Granted
+    )  # without the guard: set up a second time
 
 
 # ---- Who takes what over, and when ------------------------------------------------------------------------
@@ -213,19 +217,19 @@
 
 def taker(name: str, seed: int = 1) -> tk.Takeovers:
     made = tk.Takeovers(name, NAMES, seed)
-    made.handle(0.0, tk.Started(100))
-    made.handle(0.0, tk.Listed(BOXES))
+    made.handle(0.0, tk.EpochBegun(100))
+    made.handle(0.0, tk.BoxesListed(BOXES))
     for other in sorted(NAMES - {name}):
-        made.handle(0.0, tk.Seen(other, PeerState.ALIVE, 7, there()))
+        made.handle(0.0, tk.PeerChanged(other, PeerState.ALIVE, 7, there()))
     return made
 
 
 def run(
     made: tk.Takeovers, now: float, actions: list[tk.Action], until: float
-) -> list[tuple[float, tk.Take]]:
+) -> list[tuple[float, tk.RequestTakeover]]:
     """Carry out timers; every take is answered at once."""
     timers = [(now + a.delay_ms, k, a.event) for k, a in enumerate(actions) if isinstance(a, tk.StartTimer)]
-    found: list[tuple[float, tk.Take]] = []
+    found: list[tuple[float, tk.RequestTakeover]] = []
     count = len(timers)
     while timers:
         timers.sort()
@@ -235,9 +239,9 @@
         queue = made.handle(at, event)
         while queue:
             action = queue.pop(0)
-            if isinstance(action, tk.Take):
+            if isinstance(action, tk.RequestTakeover):
                 found.append((at, action))
-                queue += made.handle(at, tk.Took(action.work))
+                queue += made.handle(at, tk.TakenOver(action.work))
             else:
                 count += 1
                 timers.append((at + action.delay_ms, count, action.event))
@@ -250,14 +254,14 @@
     by: Counter[str] = Counter()
     for name in sorted(NAMES - {"d3"}):
         made = taker(name)
-        actions = made.handle(10.0, tk.Seen("d3", PeerState.DEAD, 7, there("d3")))
+        actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
         for at, take in run(made, 10.0, actions, 600_000.0):
-            if take.of == "d3" and take.upto == 7:
+            if take.owner == "d3" and take.up_to_epoch == 7:
                 takes[take.box] += 1
                 by[name] += 1
                 assert at < 5000.0
-            elif take.of == "d3":
-                assert (take.upto, take.certain) == (0, False)
+            elif take.owner == "d3":
+                assert (take.up_to_epoch, take.certain) == (0, False)
                 sweeps[take.box] += 1
     assert takes == Counter(dict.fromkeys(BOXES, 1))
     assert sweeps == Counter(dict.fromkeys(BOXES, tk.MAX_SWEEPS))  # and no more after that
@@ -266,60 +270,63 @@
 
 def test_sweeps_come_ever_later_also_where_the_box_hears_from_the_owner() -> None:
     made = taker("d0")
-    made.handle(10.0, tk.Seen("d3", PeerState.DEAD, 7, there("d3")))
-    work = next(w for w in made._work.values() if w.of == "d3")
+    made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
+    work = next(w for w in made._work.values() if w.owner == "d3")
     now, waits = 300.0, []
-    made.handle(now, tk.Due(work.number, work.turn))
-    answers: list[tk.Event] = [tk.Took(work.number), *[tk.NotTaken(work.number, tk.Why.ALIVE)] * 3]
+    made.handle(now, tk.AttemptDue(work.number, work.round_id))
+    answers: list[tk.Event] = [
+        tk.TakenOver(work.number),
+        *[tk.TakeoverFailed(work.number, tk.TakeoverFailure.ALIVE)] * 3,
+    ]
     for answer in answers:
         (timer,) = made.handle(now, answer)
         assert isinstance(timer, tk.StartTimer)
         waits.append(timer.delay_ms)
         now += timer.delay_ms
         (take,) = made.handle(now, timer.event)
-        assert isinstance(take, tk.Take) and (take.upto, take.certain) == (0, False)
-    assert made.handle(now, tk.NotTaken(work.number, tk.Why.ALIVE)) == []
+        assert isinstance(take, tk.RequestTakeover) and (take.up_to_epoch, take.certain) == (0, False)
+    assert made.handle(now, tk.TakeoverFailed(work.number, tk.TakeoverFailure.ALIVE)) == []
     assert all(later > 1.1 * sooner for sooner, later in pairwise(waits)), waits
     assert waits[0] >= 0.75 * tk.CERTAIN_MS
 
 
 def test_one_that_is_back_is_swept_no_more() -> None:
     made = taker("d0")
-    actions = made.handle(10.0, tk.Seen("d3", PeerState.DEAD, 7, there("d3")))
+    actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
     first = run(made, 10.0, actions, 1000.0)
-    assert any(take.of == "d3" for _, take in first)
-    swept = [made._by_number[w.number] for w in made._work.values() if w.of == "d3"]
+    assert any(take.owner == "d3" for _, take in first)
+    swept = [made._by_number[w.number] for w in made._work.values() if w.owner == "d3"]
     assert swept and all(w.sweeps == 1 for w in swept)
-    made.handle(1500.0, tk.Seen("d3", PeerState.ALIVE, 8, there()))
+    made.handle(1500.0, tk.PeerChanged("d3", PeerState.ALIVE, 8, there()))
     for work in swept:
-        assert made.handle(9000.0, tk.Due(work.number, work.turn)) == []
+        assert made.handle(9000.0, tk.AttemptDue(work.number, work.round_id)) == []
 
 
 def test_own_earlier_runs_are_taken_over_at_every_box() -> None:
     made = tk.Takeovers("d0", NAMES, 1)
-    first = made.handle(0.0, tk.Started(100))
-    found = run(made, 0.0, [*first, *made.handle(0.0, tk.Listed(BOXES))], 5000.0)
+    first = made.handle(0.0, tk.EpochBegun(100))
+    found = run(made, 0.0, [*first, *made.handle(0.0, tk.BoxesListed(BOXES))], 5000.0)
     assert {take.box for _, take in found} == BOXES
-    assert {(take.of, take.upto, take.certain) for _, take in found} == {("d0", 99, True)}
+    assert {(take.owner, take.up_to_epoch, take.certain) for _, take in found} == {("d0", 99, True)}
     assert all(made.own_done(box) for box in BOXES)
 
 
 def test_few_takes_are_out_at_once_however_many_die() -> None:
     made = taker("d0")
     for name in sorted(NAMES - {"d0"}):
-        made.handle(10.0, tk.Seen(name, PeerState.DEAD, 7, ("d0",)))
+        made.handle(10.0, tk.PeerChanged(name, PeerState.DEAD, 7, ("d0",)))
     out = 0
     for number in list(made._by_number):
-        for action in made.handle(500.0, tk.Due(number, made._by_number[number].turn)):
-            out += isinstance(action, tk.Take)
-    assert out == tk.MOST_OUT
+        for action in made.handle(500.0, tk.AttemptDue(number, made._by_number[number].round_id)):
+            out += isinstance(action, tk.RequestTakeover)
+    assert out == tk.MAX_CONCURRENT
 
 
 def test_one_that_refuted_is_not_taken_over() -> None:
     made = taker("d0")
-    actions = made.handle(10.0, tk.Seen("d3", PeerState.DEAD, 7, there("d3")))
-    made.handle(11.0, tk.Seen("d3", PeerState.ALIVE, 7, there()))
-    assert not [take for _, take in run(made, 10.0, actions, 5000.0) if take.of == "d3"]
+    actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
+    made.handle(11.0, tk.PeerChanged("d3", PeerState.ALIVE, 7, there()))
+    assert not [take for _, take in run(made, 10.0, actions, 5000.0) if take.owner == "d3"]
     assert not made.is_gone("d3")
 
 
@@ -327,35 +334,38 @@
 def test_certain_is_only_who_has_heard_a_majority_since(heard: int, certain: bool) -> None:
     made = taker("d0")
     for name in ("d1", "d2", "d3", "d4"):
-        made.handle(5.0, tk.Heard(name))  # before: counts for nothing
-    made.handle(10.0, tk.Seen("d8", PeerState.DEAD, 7, there("d8")))
-    made.handle(11.0, tk.Heard("d8"))  # of itself
+        made.handle(5.0, tk.PeerContacted(name))  # before: counts for nothing
+    made.handle(10.0, tk.PeerChanged("d8", PeerState.DEAD, 7, there("d8")))
+    made.handle(11.0, tk.PeerContacted("d8"))  # of itself
     for k in range(1, heard + 1):
-        made.handle(20.0, tk.Heard(f"d{k}"))
+        made.handle(20.0, tk.PeerContacted(f"d{k}"))
     assert not made.certain(3000.0, "d8")
     assert made.certain(5000.0, "d8") is certain
 
 
 def test_who_left_in_order_is_taken_over_at_once_and_for_certain() -> None:
     made = taker("d0")
-    actions = made.handle(10.0, tk.Seen("d3", PeerState.LEFT, 7, there("d3")))
-    found = [(at, take) for at, take in run(made, 10.0, actions, 300.0) if take.of == "d3"]
-    assert found and all(take.certain and at < 10.0 + tk.SPREAD_MS + 1 for at, take in found)
+    actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.LEFT, 7, there("d3")))
+    found = [(at, take) for at, take in run(made, 10.0, actions, 300.0) if take.owner == "d3"]
+    assert found and all(take.certain and at < 10.0 + tk.FIRST_DELAY_MAX_MS + 1 for at, take in found)
 
 
 def test_a_refused_take_comes_again_ever_later_and_never_stops() -> None:
     made = taker("d0")
-    made.handle(10.0, tk.Seen("d3", PeerState.DEAD, 7, there("d3")))
-    work = next(w for w in made._work.values() if w.of == "d3")
+    made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
+    work = next(w for w in made._work.values() if w.owner == "d3")
     waits = []
     now = 300.0
     for _ in range(10):
-        assert any(isinstance(a, tk.Take) for a in made.handle(now, tk.Due(work.number, work.turn)))
-        (timer,) = made.handle(now, tk.NotTaken(work.number, tk.Why.ALIVE))
+        assert any(
+            isinstance(a, tk.RequestTakeover)
+            for a in made.handle(now, tk.AttemptDue(work.number, work.round_id))
+        )
+        (timer,) = made.handle(now, tk.TakeoverFailed(work.number, tk.TakeoverFailure.ALIVE))
         assert isinstance(timer, tk.StartTimer)
         waits.append(timer.delay_ms)
         now += timer.delay_ms
-    assert max(waits) <= tk.AGAIN_MOST_MS and min(waits[5:]) >= tk.AGAIN_MOST_MS / 2
+    assert max(waits) <= tk.RETRY_MAX_MS and min(waits[5:]) >= tk.RETRY_MAX_MS / 2
 
 
 def test_tables_are_bounded_by_names_and_boxes_whatever_happens() -> None:
@@ -366,13 +376,13 @@
         now += chance.uniform(0, 300)
         name = chance.choice(sorted(NAMES))
         state = chance.choice([PeerState.ALIVE, PeerState.SUSPECTED, PeerState.DEAD, PeerState.LEFT])
-        made.handle(now, tk.Seen(name, state, turn, there(name)))
+        made.handle(now, tk.PeerChanged(name, state, turn, there(name)))
         if turn % 7 == 0:
-            made.handle(now, tk.Listed(frozenset(f"b{chance.randrange(500)}" for _ in range(24))))
+            made.handle(now, tk.BoxesListed(frozenset(f"b{chance.randrange(500)}" for _ in range(24))))
         for number in list(made._by_number)[:3]:
-            for action in made.handle(now, tk.Due(number, made._by_number[number].turn)):
-                if isinstance(action, tk.Take):
-                    made.handle(now, tk.NotTaken(action.work, tk.Why.SILENT))
+            for action in made.handle(now, tk.AttemptDue(number, made._by_number[number].round_id)):
+                if isinstance(action, tk.RequestTakeover):
+                    made.handle(now, tk.TakeoverFailed(action.work, tk.TakeoverFailure.SILENT))
     sizes = made.sizes()
     assert sizes["gone"] <= 9 and sizes["work"] <= 9 * 24
 
@@ -381,24 +391,28 @@
 OTHERS = [f"d{k}" for k in range(1, 9)]
 
 
-def told(standing: st.Standing, befores: dict[str, int]) -> list[st.Action]:
-    return [action for peer, before in befores.items() for action in standing.handle(st.Told(peer, before))]
+def told(standing: dc.DiskCheck, befores: dict[str, int]) -> list[dc.Action]:
+    return [
+        action
+        for peer, before in befores.items()
+        for action in standing.handle(dc.EpochReported(peer, before))
+    ]
 
 
 def test_a_new_director_vouches_once_more_than_half_of_the_others_never_met_it() -> None:
-    made = st.Standing(OTHERS, 0, 1)
-    assert {a.peer for a in made.start() if isinstance(a, st.AskKnown)} == set(OTHERS)
-    assert not [a for a in told(made, dict.fromkeys(OTHERS[:4], 0)) if isinstance(a, st.Vouch)]
+    made = dc.DiskCheck(OTHERS, 0, 1)
+    assert {a.peer for a in made.start() if isinstance(a, dc.QueryEpoch)} == set(OTHERS)
+    assert not [a for a in told(made, dict.fromkeys(OTHERS[:4], 0)) if isinstance(a, dc.Trust)]
     assert told(made, dict.fromkeys(OTHERS[:4], 0)) == []  # the same ones again count once
-    assert told(made, {OTHERS[4]: 0}) == [st.Vouch(False)]
+    assert told(made, {OTHERS[4]: 0}) == [dc.Trust(False)]
 
 
 @pytest.mark.parametrize("last, lost", [(0, True), (40, True), (50, False)])
 def test_one_who_knew_a_run_that_the_disk_does_not_makes_it_a_lost_one(last: int, lost: bool) -> None:
-    made = st.Standing(OTHERS, last, 1)
+    made = dc.DiskCheck(OTHERS, last, 1)
     made.start()
     actions = told(made, {**dict.fromkeys(OTHERS[:4], 0), OTHERS[4]: 50})
-    assert actions == [st.Vouch(lost)]
+    assert actions == [dc.Trust(lost)]
 
 
 def test_any_two_majorities_of_the_others_share_one_who_knew() -> None:
@@ -409,13 +423,13 @@
 
 
 def test_silent_peers_are_asked_again_ever_later() -> None:
-    made = st.Standing(OTHERS, 5, 1)
-    waits = [a.delay_ms for a in made.start() if isinstance(a, st.StartTimer)]
+    made = dc.DiskCheck(OTHERS, 5, 1)
+    waits = [a.delay_ms for a in made.start() if isinstance(a, dc.StartTimer)]
     for _ in range(8):
-        actions = made.handle(st.AskAgainDue())
-        waits += [a.delay_ms for a in actions if isinstance(a, st.StartTimer)]
-        assert sum(isinstance(a, st.AskKnown) for a in actions) == 8
-    assert max(waits) <= 1.5 * st.AGAIN_MOST_MS and waits[-1] > waits[0]
+        actions = made.handle(dc.RetryDue())
+        waits += [a.delay_ms for a in actions if isinstance(a, dc.StartTimer)]
+        assert sum(isinstance(a, dc.QueryEpoch) for a in actions) == 8
+    assert max(waits) <= 1.5 * dc.RETRY_MAX_MS and waits[-1] > waits[0]
 
 
 # ---- Where requests go ------------------------------------------------------------------------------------
@@ -427,74 +441,74 @@
 
 
 def test_a_request_goes_to_the_owner_while_it_is_there_and_to_its_successor_after() -> None:
-    assert routes().handle(rt.Wish(1, CLAIM)) == [rt.PassOn(1, "d1")]
-    assert routes(gone=True).handle(rt.Wish(1, CLAIM)) == [rt.PassOn(1, "d2")]
-    assert routes(gone=True, successor="d0").handle(rt.Wish(1, CLAIM)) == [rt.AskBox(1, CLAIM)]
+    assert routes().handle(rt.RouteRequested(1, CLAIM)) == [rt.Forward(1, "d1")]
+    assert routes(gone=True).handle(rt.RouteRequested(1, CLAIM)) == [rt.Forward(1, "d2")]
+    assert routes(gone=True, successor="d0").handle(rt.RouteRequested(1, CLAIM)) == [rt.QueryBox(1, CLAIM)]
 
 
 def test_a_request_makes_one_hop_at_most() -> None:
-    (tell,) = routes().handle(rt.Wish(1, CLAIM, passed=True))
-    assert isinstance(tell, rt.Tell) and tell.verdict is rt.Verdict.NOT_HERE
+    (tell,) = routes().handle(rt.RouteRequested(1, CLAIM, forwarded=True))
+    assert isinstance(tell, rt.Resolved) and tell.outcome is rt.RouteOutcome.NOT_HERE
 
 
 def test_an_unreachable_owner_means_come_back_told_apart() -> None:
     made = routes()
     waits = set()
     for number in range(50):
-        made.handle(rt.Wish(number, CLAIM))
-        (tell,) = made.handle(rt.NotPassed(number))
-        assert isinstance(tell, rt.Tell) and tell.verdict is rt.Verdict.COME_BACK
+        made.handle(rt.RouteRequested(number, CLAIM))
+        (tell,) = made.handle(rt.ForwardFailed(number))
+        assert isinstance(tell, rt.Resolved) and tell.outcome is rt.RouteOutcome.COME_BACK
         waits.add(round(tell.come_back_ms))
-    assert len(waits) > 40 and min(waits) >= rt.BACK_LEAST_MS and max(waits) <= rt.BACK_MOST_MS
+    assert len(waits) > 40 and min(waits) >= rt.COME_BACK_MIN_MS and max(waits) <= rt.COME_BACK_MAX_MS
     assert len(made) == 0
 
 
 @pytest.mark.parametrize(
     "became, since, boot, verdict",
     [
-        ("yours", 0, "b0#1", rt.Verdict.SHOW),
-        ("ended", 0, "b0#1", rt.Verdict.PLAYED),
-        ("never", 0, "b0#1", rt.Verdict.OPEN),
-        ("never", 0, "b0#2", rt.Verdict.FAILED),  # of another process of that box
-        ("never", 900, "b0#1", rt.Verdict.OPEN),
-        ("never", 960, "b0#1", rt.Verdict.FAILED),  # within what clocks may differ by
-        ("never", 5000, "b0#1", rt.Verdict.FAILED),
+        ("yours", 0, "b0#1", rt.RouteOutcome.SHOW),
+        ("ended", 0, "b0#1", rt.RouteOutcome.PLAYED),
+        ("never", 0, "b0#1", rt.RouteOutcome.OPEN),
+        ("never", 0, "b0#2", rt.RouteOutcome.FAILED),  # of another process of that box
+        ("never", 900, "b0#1", rt.RouteOutcome.OPEN),
+        ("never", 960, "b0#1", rt.RouteOutcome.FAILED),  # within what clocks may differ by
+        ("never", 5000, "b0#1", rt.RouteOutcome.FAILED),
     ],
 )
-def test_what_the_box_knows_decides(became: str, since: int, boot: str, verdict: rt.Verdict) -> None:
+def test_what_the_box_knows_decides(became: str, since: int, boot: str, verdict: rt.RouteOutcome) -> None:
     made = routes(gone=True, successor="d0")
-    made.handle(rt.Wish(1, CLAIM))
-    (tell,) = made.handle(rt.BoxTold(1, became, "", since, boot))
-    assert isinstance(tell, rt.Tell) and tell.verdict is verdict
-    assert (tell.instead_of == CLAIM) is (verdict is rt.Verdict.OPEN)
+    made.handle(rt.RouteRequested(1, CLAIM))
+    (tell,) = made.handle(rt.BoxResponded(1, became, "", since, boot))
+    assert isinstance(tell, rt.Resolved) and tell.outcome is verdict
+    assert (tell.replaces == CLAIM) is (verdict is rt.RouteOutcome.OPEN)
 
 
 def test_a_hint_settles_nothing() -> None:
     made = routes(gone=True, successor="d0")
     events: tuple[rt.Event, ...] = (
-        rt.BoxTold(0, "ended", "", 0, "b0#1"),
-        rt.BoxSilent(1, True),
-        rt.BoxSilent(2),
+        rt.BoxResponded(0, "ended", "", 0, "b0#1"),
+        rt.BoxFailed(1, True),
+        rt.BoxFailed(2),
     )
     for number, event in enumerate(events):
-        made.handle(rt.Wish(number, CLAIM, hint=True))
+        made.handle(rt.RouteRequested(number, CLAIM, hint=True))
         (tell,) = made.handle(event)
-        assert isinstance(tell, rt.Tell)
-        assert tell.verdict is rt.Verdict.OPEN and tell.instead_of is None
+        assert isinstance(tell, rt.Resolved)
+        assert tell.outcome is rt.RouteOutcome.OPEN and tell.replaces is None
 
 
 def test_a_box_that_is_gone_settles_that_it_may_have_run() -> None:
     made = routes(gone=True, successor="d0")
-    made.handle(rt.Wish(1, CLAIM))
-    (tell,) = made.handle(rt.BoxSilent(1, gone=True))
-    assert isinstance(tell, rt.Tell) and tell.verdict is rt.Verdict.FAILED
+    made.handle(rt.RouteRequested(1, CLAIM))
+    (tell,) = made.handle(rt.BoxFailed(1, gone=True))
+    assert isinstance(tell, rt.Resolved) and tell.outcome is rt.RouteOutcome.FAILED
 
 
 def test_requests_on_their_way_are_bounded_and_forgotten_with_their_viewers() -> None:
     made = routes()
-    for number in range(rt.MOST + 5):
-        made.handle(rt.Wish(number, CLAIM))
-    assert len(made) == rt.MOST
-    for number in range(rt.MOST):
-        made.handle(rt.Left(number))
+    for number in range(rt.MAX_REQUESTS + 5):
+        made.handle(rt.RouteRequested(number, CLAIM))
+    assert len(made) == rt.MAX_REQUESTS
+    for number in range(rt.MAX_REQUESTS):
+        made.handle(rt.ViewerLeft(number))
     assert len(made) == 0
