--- a/foxlift/catalogue/__init__.py
+++ b/foxlift/catalogue/__init__.py
@@ -1,4 +1,4 @@
-"""Titles: what they are called, where they lie, and their source manifests."""
+"""Titles: their names, the cells that store them, and their source manifests."""
 
 from foxlift.catalogue.titles import Catalogue, Title, ladder_mismatches, load_catalogue
 
--- a/foxlift/catalogue/titles.py
+++ b/foxlift/catalogue/titles.py
@@ -1,4 +1,4 @@
-"""The catalogue folder: `catalogue.sexp` and the source manifests that it names."""
+"""Reads the catalogue folder: `catalogue.sexp` and the source manifests that it names."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Title:
-    """A title and its holders: `holders` cells in a row from `first_cell`."""
+    """A title; the cells that store it are `holders` consecutive ones from `first_cell`."""
 
     name: str
     number: int
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """All titles of one version of the file, and as `foxlift.catalogue.changes` has changed them since."""
+    """All titles of one version of the file, with later changes by `foxlift.catalogue.changes`."""
 
     version: int
     titles: dict[str, Title]
 
 
 def title_number(name: str) -> int:
-    """The opaque number by which the module knows a title; the same at every director."""
+    """The title's number in the decision module: a hash of the name, equal at every director."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 def load_catalogue(folder: Path, cells: int) -> Catalogue:
-    """Read the folder whole. Raises ConfigError for the first thing that cannot be used."""
+    """Read the whole folder. Raises ConfigError for the first invalid part."""
     path = folder / "catalogue.sexp"
     try:
         text = path.read_text(encoding="utf-8")
@@ -65,18 +65,26 @@
     titles: dict[str, Title] = {}
     numbers: set[int] = set()
     for entry in form.titles:
-        place = SourcePosition(str(path), 1, 1)
+        position = SourcePosition(str(path), 1, 1)
         number = title_number(entry.name)
         if entry.name in titles or number in numbers:
-            raise ConfigError(place, f"catalogue.titles.{entry.name}", "stated twice")
+            raise ConfigError(
+                position,
+                f"catalogue.titles.{entry.name}",
+                "stated twice, or its number is that of another title",
+            )
         if entry.first_cell >= cells or entry.holders > cells:
-            raise ConfigError(place, f"catalogue.titles.{entry.name}", f"does not fit {cells} cells")
+            raise ConfigError(
+                position,
+                f"catalogue.titles.{entry.name}",
+                f"{entry.holders} holders from {entry.first_cell}: does not fit {cells} cells",
+            )
         if entry.manifest not in sources:
             source_path = folder / entry.manifest
             try:
                 sources[entry.manifest] = DashSource(source_path.read_bytes(), str(source_path))
             except (OSError, ManifestError) as error:
-                raise ConfigError(place, f"catalogue.titles.{entry.name}.manifest", str(error)) from error
+                raise ConfigError(position, f"catalogue.titles.{entry.name}.manifest", str(error)) from error
         numbers.add(number)
         titles[entry.name] = Title(
             entry.name, number, entry.first_cell, entry.holders, sources[entry.manifest]
@@ -85,12 +93,12 @@
 
 
 def ladder_mismatches(config: DirectorConfig, catalogue: Catalogue) -> list[str]:
-    """Sources whose renditions do not fit the ladder of a class, a line each: file, line, class, figures."""
-    found: list[str] = []
+    """Source renditions that do not match a class's ladder, one line each: file, line, class, figures."""
+    lines: list[str] = []
     for source in {id(title.source): title.source for title in catalogue.titles.values()}.values():
         for klass in config.fleet.classes:
             ladder = tuple(kb * klass.rate_scale for kb in config.fleet.ladder_kb[: klass.top + 1])
             for misfit in source.renditions.misfits(ladder, klass.floor):
                 where = f"{source.name}:{source.line_of(misfit.index)}"
-                found.append(f"{where}: class {klass.name}: {misfit.what}")
-    return found
+                lines.append(f"{where}: class {klass.name}: {misfit.what}")
+    return lines
--- a/foxlift/config/__init__.py
+++ b/foxlift/config/__init__.py
@@ -1,4 +1,4 @@
-"""S-expression files to typed, checked structures; each error names file, line, column and key."""
+"""Reads S-expression files into typed, validated structures; each error names file, line, column and key."""
 
 from foxlift.config.forms import ConfigError, SourcePosition, bind, read_forms
 from foxlift.config.settings import (
--- a/foxlift/config/control.py
+++ b/foxlift/config/control.py
@@ -1,4 +1,4 @@
-"""The settings of a control server, and of a director's way to its relays."""
+"""The settings of a control server, and of the relays that a director polls."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class MemberConfig(msgspec.Struct, frozen=True, tag="member"):
-    """A member of the group that agrees on the log, and where it listens."""
+    """A member of the control group and the URL of its listener."""
 
     name: Name
     url: Url
 
 
 class RelayConfig(msgspec.Struct, frozen=True, tag="relay"):
-    """A control server that a director may watch, and where it listens."""
+    """A control server that a director may poll, and the URL of its listener."""
 
     name: Name
     url: Url
 
 
 class ControlConfig(msgspec.Struct, frozen=True):
-    """One control server: a member of the group where `members` names it, else a relay.
+    """One control server: a group member if `members` contains its name, otherwise a relay.
 
-    `members` stand in the order in which they lead. `relays` and `directors` tell whose reports and watches
-    count: `*` and `?` in them stand for any characters and any one.
+    `members` are in order of leadership. `relays` and `directors` are the names whose reports and watches the
+    server accepts; `*` matches any characters, `?` exactly one.
     """
 
     name: Name
@@ -49,17 +49,17 @@
     relays: Annotated[tuple[Pattern, ...], Meta(max_length=MAX_RELAYS)] = ("*",)
     directors: Annotated[tuple[Pattern, ...], Meta(max_length=MAX_RELAYS)] = ("*",)
     seed: int = 0
-    trust_disk: bool = False  # the operator's word that the state folder is the last run's
+    trust_disk: bool = False  # the operator confirms that the state folder is the one of the last run
 
     def __post_init__(self) -> None:
         if len({member.name for member in self.members}) != len(self.members):
-            raise ValueError("members: two members have one name")
+            raise ValueError("members: two members have the same name")
 
 
 def load_control(path: Path) -> ControlConfig:
     """Read a control server's settings file.
 
-    Raises ConfigError; paths in the file are taken from the file's own folder.
+    Raises ConfigError. Relative paths in the file are relative to the file's folder.
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/foxlift/config/settings.py
+++ b/foxlift/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one director, as written by its operator, and the module's Settings made from them."""
+"""The settings file of one director, and its conversion to `foxlift.interface.Settings`."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ClassConfig(msgspec.Struct, frozen=True, tag="class", forbid_unknown_fields=True):
-    """Terms of one class of session; see `foxlift.interface.SessionClass`."""
+    """One class of sessions; see `foxlift.interface.SessionClass`."""
 
     name: Name
     repeat: Literal["free", "windowed", "once"]
@@ -40,7 +40,7 @@
 
 
 class TenantConfig(msgspec.Struct, frozen=True, tag="tenant"):
-    """A tenant and its part of the service."""
+    """A tenant, its share of the service and its quota."""
 
     name: Name
     share: Annotated[float, Meta(ge=0, le=1)] = 1.0
@@ -48,7 +48,7 @@
 
 
 class FleetConfig(msgspec.Struct, frozen=True):
-    """What the operators state of the fleet; all directors have the same."""
+    """Settings of the fleet, the same for all directors."""
 
     ladder_kb: Annotated[tuple[float, ...], Meta(min_length=1, max_length=32)]
     ladder_worth: Annotated[tuple[float, ...], Meta(min_length=1, max_length=32)]
@@ -83,30 +83,34 @@
 
     def __post_init__(self) -> None:
         if len(self.ladder_kb) != len(self.ladder_worth):
-            raise ValueError("ladder-kb and ladder-worth differ in length")
+            raise ValueError(
+                f"{len(self.ladder_kb)} rates in ladder-kb, {len(self.ladder_worth)} worths in ladder-worth"
+            )
         if any(b <= a for a, b in zip(self.ladder_kb, self.ladder_kb[1:], strict=False)):
-            raise ValueError("ladder-kb does not rise from rung to rung")
+            raise ValueError(f"ladder-kb does not rise from rung to rung: {self.ladder_kb}")
         if not all(math.isfinite(kb) and kb > 0 for kb in self.ladder_kb):
-            raise ValueError("ladder-kb holds a rate that is not above 0")
+            raise ValueError(f"ladder-kb holds a rate that is not above 0: {self.ladder_kb}")
         if not self.classes:
             raise ValueError("classes: at least one class is needed")
         if len({klass.name for klass in self.classes}) != len(self.classes):
-            raise ValueError("classes: two classes have one name")
+            raise ValueError("classes: two classes have the same name")
         for klass in self.classes:
             if klass.floor > klass.top or klass.top >= len(self.ladder_kb):
                 raise ValueError(f"class {klass.name}: floor and top do not fit the ladder")
             if klass.wanted_ms > klass.deadline_ms or klass.deadline_ms <= 0:
                 raise ValueError(f"class {klass.name}: wanted-ms lies above deadline-ms")
         if len(self.kinds) != len(self.kind_slots):
-            raise ValueError("kinds and kind-slots differ in length")
+            raise ValueError(
+                f"{len(self.kinds)} names in kinds, {len(self.kind_slots)} numbers in kind-slots"
+            )
 
 
 class FrontConfig(msgspec.Struct, frozen=True):
-    """The listening side: where, and what a peer may cost."""
+    """The listener for players and its limits per connection."""
 
     host: str = "127.0.0.1"
     port: Port = 0
-    url: Annotated[str, Meta(pattern=r"^(http://.*)?$")] = ""  # as players reach it, where that differs
+    url: Annotated[str, Meta(pattern=r"^(http://.*)?$")] = ""  # as players reach it; default: host and port
     max_connections: Positive = 20_000
     max_header_bytes: Positive = 16_384
     max_body_bytes: Count = 65_536
@@ -117,16 +121,16 @@
     answer_margin_ms: Ms = 60.0
     intent_ms: Ms = 300.0
     update_period_s: Annotated[float, Meta(gt=0, le=3600)] = 4.0
-    origins: Annotated[tuple[Origin, ...], Meta(min_length=1, max_length=100)] = ("*",)  # of pages let in
-    preflight_s: Annotated[int, Meta(ge=0, le=86_400)] = 7200  # how long a browser may keep a preflight
+    origins: Annotated[tuple[Origin, ...], Meta(min_length=1, max_length=100)] = ("*",)  # allowed for CORS
+    preflight_s: Annotated[int, Meta(ge=0, le=86_400)] = 7200  # how long a browser may cache a preflight
 
     def __post_init__(self) -> None:
         if "*" in self.origins and len(self.origins) > 1:
-            raise ValueError("origins: either * or a list")
+            raise ValueError("origins: either * or a list of origins, not both")
 
 
 class TokenConfig(msgspec.Struct, frozen=True):
-    """Where the keys lie that session tokens are checked with, and what a token must say."""
+    """The key file for session tokens, and the issuer and audience that a token must name."""
 
     keys: str
     issuer: Annotated[str, Meta(min_length=1)]
@@ -135,13 +139,13 @@
 
 
 class CatalogueConfig(msgspec.Struct, frozen=True):
-    """The folder that holds `catalogue.sexp` and the source manifests."""
+    """The folder with `catalogue.sexp` and the source manifests."""
 
     folder: str
 
 
 class BoxListConfig(msgspec.Struct, frozen=True):
-    """The box list service, asked by long poll."""
+    """The box list service, queried by long polling."""
 
     url: Annotated[str, Meta(pattern=r"^http://")]
     poll_ms: Ms = 20_000.0
@@ -149,7 +153,7 @@
 
 
 class BoxLinkConfig(msgspec.Struct, frozen=True):
-    """The director's side towards media boxes."""
+    """The director's connections to media boxes."""
 
     connect_ms: Ms = 250.0
     max_connections: Positive = 64
@@ -162,69 +166,71 @@
 
 
 class LedgerConfig(msgspec.Struct, frozen=True):
-    """The ledger of use by tenant; the tariff's versions cut what is written down."""
+    """The ledger of usage by tenant; usage records are split where a tariff version begins."""
 
     tariff: str = ""
-    grace_ms: Ms = 3_600_000.0
+    grace_ms: Ms = 3_600_000.0  # a period is closed this long after its end
     export_folder: str = ""
     export_url: Annotated[str, Meta(pattern=r"^(http://.*)?$")] = ""
     export_every_ms: Ms = 5000.0
 
     def __post_init__(self) -> None:
         if self.export_folder and self.export_url:
-            raise ValueError("export-folder and export-url: only one of them")
+            raise ValueError("export-folder and export-url are both given; only one is allowed")
 
 
 class PeerConfig(msgspec.Struct, frozen=True, tag="peer"):
-    """Another director of the fleet, and where its peers' listener is."""
+    """Another director of the fleet and the URL of its listener for peers."""
 
     name: Name
     url: Annotated[str, Meta(pattern=r"^http://[A-Za-z0-9.-]+:[0-9]{1,5}$", max_length=300)]
 
 
 class PeersConfig(msgspec.Struct, frozen=True):
-    """Directors that know each other and take over each other's work; off where `others` is empty."""
+    """The other directors, which take over each other's sessions; off if `others` is empty."""
 
     others: Annotated[tuple[PeerConfig, ...], Meta(max_length=1000)] = ()
     host: str = "127.0.0.1"
     port: Port = 0
     period_ms: Annotated[float, Meta(ge=20, le=60_000)] = 500.0
     claim_ms: Annotated[float, Meta(ge=10, le=60_000)] = 500.0  # how long a paid set-up waits for its claim
-    pass_ms: Annotated[float, Meta(ge=10, le=60_000)] = 1000.0  # and a request for its session's owner
-    grace_ms: Annotated[float, Meta(ge=0, le=3_600_000)] = 60_000.0  # asked of boxes, see the protocol
+    pass_ms: Annotated[float, Meta(ge=10, le=60_000)] = 1000.0  # how long a request waits for its owner
+    grace_ms: Annotated[float, Meta(ge=0, le=3_600_000)] = (
+        60_000.0  # how long a session outlives its owner's stream
+    )
     longest_token_s: Annotated[int, Meta(ge=1, le=31_536_000)] = 86_400
-    clocks_apart_ms: Annotated[int, Meta(ge=0, le=600_000)] = 10_000  # of directors and boxes, at most
-    # names of all directors before their number changed, to be kept so long as a token lives: see the page
+    clocks_apart_ms: Annotated[int, Meta(ge=0, le=600_000)] = 10_000  # largest difference of any two
+    # all directors' names before the fleet was resized; needed until all tokens of that time have expired
     former: Annotated[tuple[Name, ...], Meta(max_length=1000)] = ()
-    holders: Literal[1, 3, 5, 7, 9] = 5  # of a paid token's register; more than half are needed
-    former_holders: Literal[0, 1, 3, 5, 7, 9] = 0  # before that number changed; 0: it has not
-    # who agrees on plans for zones, spread over regions; the region of each of the fleet's zones
+    holders: Literal[1, 3, 5, 7, 9] = 5  # replicas of a paid token's register; more than half are needed
+    former_holders: Literal[0, 1, 3, 5, 7, 9] = 0  # the value before `holders` was changed; 0: unchanged
+    # directors that agree on zone plans, spread over regions; `regions`: the region of each zone
     makers: Annotated[tuple[Name, ...], Meta(max_length=9)] = ()
     regions: Annotated[tuple[Name, ...], Meta(max_length=1000)] = ()
-    trust_disk: bool = False  # the operator's word that the state folder is the last run's
+    trust_disk: bool = False  # the operator confirms that the state folder is the one of the last run
 
     def __post_init__(self) -> None:
         if len({peer.name for peer in self.others}) != len(self.others):
-            raise ValueError("others: two peers have one name")
+            raise ValueError("others: two peers have the same name")
 
     @property
     def on(self) -> bool:
-        """Whether there is anybody to know."""
+        """Whether there are other directors."""
         return bool(self.others)
 
 
 class ConfigurationConfig(msgspec.Struct, frozen=True):
-    """Control servers that the director takes changes of its configuration from; off where there are none."""
+    """Control servers from which the director receives configuration changes; off if there are none."""
 
     relays: Annotated[tuple[RelayConfig, ...], Meta(max_length=MAX_RELAYS)] = ()
 
     def __post_init__(self) -> None:
         if len({relay.name for relay in self.relays}) != len(self.relays):
-            raise ValueError("relays: two relays have one name")
+            raise ValueError("relays: two relays have the same name")
 
 
 class DirectorConfig(msgspec.Struct, frozen=True):
-    """All that `foxlift serve` reads."""
+    """The settings file of `foxlift serve`."""
 
     name: Name
     number: Count
@@ -247,25 +253,32 @@
         if self.number >= self.directors:
             raise ValueError(f"number {self.number} is not below directors {self.directors}")
         if self.zone not in self.fleet.zones:
-            raise ValueError(f"zone {self.zone} is not one of the fleet's zones")
+            raise ValueError(
+                f"zone {self.zone} is not one of the fleet's zones: {', '.join(self.fleet.zones)}"
+            )
         if any(peer.name == self.name for peer in self.peers.others):
-            raise ValueError(f"peers: {self.name} is this director itself")
+            raise ValueError(f"peers: {self.name} is this director's own name")
         named = {peer.name for peer in self.peers.others} | {self.name}
         if unknown := sorted(set(self.peers.makers) - named):
-            raise ValueError(f"peers: maker {unknown[0]} is no director that the settings name")
+            raise ValueError(f"peers: maker {unknown[0]} is neither this director nor one of others")
+        # an even number needs a larger majority and tolerates no more failures
         if self.peers.makers and len(self.peers.makers) % 2 == 0:
-            raise ValueError("peers: makers are an odd number, so that more than half is few")
+            raise ValueError(f"peers: {len(self.peers.makers)} makers; their number must be odd")
         if self.peers.regions and len(self.peers.regions) != len(self.fleet.zones):
-            raise ValueError("peers: regions names one for each of the fleet's zones")
+            raise ValueError(
+                f"peers: {len(self.peers.regions)} regions, {len(self.fleet.zones)} zones; one each is needed"
+            )
         if unknown := sorted(set(self.peers.former) - named):
-            # a holder that cannot be asked counts as silent: one of three may be, two not
-            raise ValueError(f"peers: former {unknown[0]} is none of the others: keep it there meanwhile")
+            # a replica without an address never answers; of three replicas one may be silent, but not two
+            raise ValueError(
+                f"peers: former {unknown[0]} is not in others: keep it there until former is removed"
+            )
 
 
 def load_director(path: Path) -> DirectorConfig:
     """Read a director's settings file.
 
-    Raises ConfigError; paths in the file are taken from the file's own folder.
+    Raises ConfigError. Relative paths in the file are relative to the file's folder.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -287,7 +300,7 @@
 
 
 def module_settings(config: DirectorConfig) -> fl.Settings:
-    """The module's settings, from what the operator stated."""
+    """Convert a director's settings to the decision module's settings."""
     fleet = config.fleet
     classes = tuple(
         fl.SessionClass(
--- a/foxlift/telemetry/counters.py
+++ b/foxlift/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""Plain counters; what is exported of them is another package's matter."""
+"""In-process counters; other packages export them."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
         self.values: Counter[tuple[str, str]] = Counter()
 
     def add(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Count."""
+        """Add to the count of a name and label."""
         self.values[name, label] += amount
 
     def total(self, name: str) -> int:
-        """Sum over all labels of a name."""
-        return sum(amount for (found, _), amount in self.values.items() if found == name)
+        """The sum over all labels of a name."""
+        return sum(amount for (counted, _), amount in self.values.items() if counted == name)
--- a/foxlift/telemetry/logs.py
+++ b/foxlift/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs (structlog): JSON for collectors, console for people; no token or key ever in a line."""
+"""Structured logs (structlog): JSON for collectors, console for people, both without tokens and keys."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def hide_secrets(_: Any, __: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Blank what looks like a token, or is named as one: the last guard, not the first."""
+    """Replace values that look like a token or have a secret's key; callers must not log secrets anyway."""
     for key, value in line.items():
         if key in _SECRET_KEYS:
             line[key] = "[hidden]"
@@ -29,11 +29,11 @@
 
 
 def configure_logs(
-    form: Literal["json", "console"] = "console", level: str = "info", out: TextIO | None = None
+    line_format: Literal["json", "console"] = "console", level: str = "info", out: TextIO | None = None
 ) -> None:
-    """Set up logging for the process; lines go to standard error."""
+    """Configure logging of the process; `out` defaults to standard error."""
     renderer: Any = structlog.processors.JSONRenderer(sort_keys=True)
-    if form == "console":
+    if line_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
--- a/foxlift/tokens/__init__.py
+++ b/foxlift/tokens/__init__.py
@@ -1,4 +1,4 @@
-"""Session tokens: signed JWTs (RFC 7519) that say who may play which title in which class."""
+"""Session tokens: signed JWTs (RFC 7519) that state which viewer may play which title in which class."""
 
 from foxlift.tokens.session import Issuer, SessionToken, TokenError, TokenFault, Verifier, load_keys
 
--- a/foxlift/tokens/session.py
+++ b/foxlift/tokens/session.py
@@ -1,11 +1,11 @@
-"""Issue and verify session tokens.
+"""Issues and verifies session tokens.
 
-Claims (RFC 7519 section 4): `iss`, `aud`, `sub` (the viewer), `jti` (the token's id: the unit that is paid
-for), `exp`, optional `nbf`; and of our own `title`, `class`, `tenant`, `best` (highest rung that the viewer
-can use) and `length` (a guess of how long it will be watched, seconds).
+Registered claims (RFC 7519 section 4): `iss`, `aud`, `sub` (the viewer), `jti` (the token's id, which is the
+billed unit), `exp`, optional `nbf`. Private claims: `title`, `class`, `tenant`, optional `best` (highest rung
+that the viewer can use) and `length` (estimated viewing time in seconds).
 
-Expiry is told apart from validity: an expired token starts nothing, but the manifest of a session that it has
-started may still be reloaded. No message here holds any part of a token.
+Expiry is checked separately from the signature: an expired token starts no session, but the manifest of a
+session that it started may still be reloaded. No error message contains any part of a token.
 """
 
 from __future__ import annotations
@@ -21,8 +21,12 @@
 from joserfc.errors import JoseError
 from joserfc.jwk import KeySet
 
-ALGORITHMS = ["HS256", "ES256", "Ed25519"]  # never "none"; asymmetric ones let a director check but not issue
-MAX_CHARS = 4096  # a longer text is refused before anything of it is decoded
+ALGORITHMS = [
+    "HS256",
+    "ES256",
+    "Ed25519",
+]  # never "none"; with an asymmetric one a director can verify tokens but not issue them
+MAX_CHARS = 4096  # a longer text is rejected before decoding
 MAX_ID_CHARS = 128
 
 
@@ -49,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionToken:
-    """What a verified token says. Times are Unix seconds."""
+    """The claims of a verified token. Times are Unix seconds."""
 
     id: str
     viewer: str
@@ -62,7 +66,7 @@
     length_s: float | None = None
 
     def check_time(self, now: float, leeway: float) -> None:
-        """Raises TokenError where the token has expired or does not hold yet at `now`."""
+        """Raises TokenError if the token has expired or is not valid yet at `now`."""
         if now >= self.expires + leeway:
             raise TokenError(TokenFault.EXPIRED)
         if now < self.not_before - leeway:
@@ -70,13 +74,13 @@
 
 
 def load_keys(path: Path) -> KeySet:
-    """Read a JWK set (RFC 7517 section 5). Raises ValueError that names the file and holds no key."""
+    """Read a JWK set (RFC 7517 section 5). Raises ValueError that names the file and contains no key."""
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
         keys = KeySet.import_key_set(data)
     except (OSError, UnicodeDecodeError) as error:
         raise ValueError(f"{path}: keys cannot be read: {error}") from error
-    except Exception as error:  # the library raises many kinds; their texts may quote the key
+    except Exception as error:  # the library raises many types; their texts may contain the key
         raise ValueError(f"{path}: not a JWK set ({type(error).__name__})") from None
     if not keys.keys:
         raise ValueError(f"{path}: the key set is empty")
@@ -84,13 +88,13 @@
 
 
 class Verifier:
-    """Checks tokens against a key set, an issuer and an audience."""
+    """Verifies tokens against a key set, an issuer and an audience."""
 
     def __init__(self, keys: KeySet, issuer: str, audience: str) -> None:
         self._keys, self._issuer, self._audience = keys, issuer, audience
 
     def verify(self, text: str) -> SessionToken:
-        """The claims of a token whose signature, issuer and audience hold; its time is not looked at.
+        """Return the claims after checking signature, issuer and audience, but not the times.
 
         Raises TokenError.
         """
@@ -151,13 +155,13 @@
 
 
 class Issuer:
-    """Signs session tokens with the first key of a set; for `foxlift token` and the rehearsal's issuer."""
+    """Signs session tokens with the first key of a set, for `foxlift token` and rehearsals."""
 
     def __init__(self, keys: KeySet, issuer: str, audience: str) -> None:
         self._key, self._issuer, self._audience = keys.keys[0], issuer, audience
 
     def issue(self, token: SessionToken) -> str:
-        """The signed text of a token."""
+        """Sign a token and return its text."""
         algorithm = {"oct": "HS256", "EC": "ES256", "OKP": "Ed25519"}[self._key.key_type]
         header: dict[str, Any] = {"alg": algorithm, "typ": "JWT"}
         if self._key.kid:
