--- a/foxlift/cli/control.py
+++ b/foxlift/cli/control.py
@@ -1,4 +1,4 @@
-"""`foxlift control` runs a control server; `foxlift configuration` changes what directors have in force."""
+"""`foxlift control` runs a control server; `foxlift configuration` changes the directors' configuration."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from foxlift.store import LogError
 from foxlift.telemetry import configure_logs
 
-REFUSED, BAD_FILES, NO_SYSTEM, UNKNOWN = 1, 3, 4, 6
-ORDER_TIMEOUT_MS = 12_000.0  # a member says that it does not know after some 7 s
+EXIT_REFUSED, EXIT_BAD_FILES, EXIT_SYSTEM_ERROR, EXIT_UNKNOWN = 1, 3, 4, 6
+REQUEST_TIMEOUT_MS = 12_000.0  # a member without a quorum replies "unknown" after about 7 s
 MAX_STATUS_BYTES = 1 << 20
 
 _decode_change = msgspec.json.Decoder(dict[str, Any]).decode
-_decode_answer = msgspec.json.Decoder(ChangeResponse).decode
+_decode_response = msgspec.json.Decoder(ChangeResponse).decode
 _decode_status = msgspec.json.Decoder(messages.Status).decode
 
 
-def _end(code: int, message: str) -> None:
+def _fail(code: int, message: str) -> None:
     click.echo(f"foxlift: {message}", err=True)
     sys.exit(code)
 
@@ -47,7 +47,7 @@
 def control(settings: Path, log_format: str, log_level: str) -> None:
     """Run a control server until SIGTERM or SIGINT: a member of the group, or a relay.
 
-    Says one line of JSON with its port on standard output when it listens; logs go to standard error.
+    Prints one line of JSON with its port on standard output once it listens; logs go to standard error.
 
     \b
     Example:
@@ -57,7 +57,7 @@
     try:
         config = load_control(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
 
     async def work() -> None:
@@ -75,20 +75,20 @@
     try:
         uvloop.run(work())
     except OSError as error:
-        _end(NO_SYSTEM, f"cannot run: {error}")
+        _fail(EXIT_SYSTEM_ERROR, f"cannot run: {error}")
     except (ConfigError, LogError, ValueError) as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
 
 
 _at = click.option("--at", "url", required=True, help="A member of the group, as http://host:port.")
 _request = click.option(
-    "--request", help="Names the order: sent again under one name it is carried out once. Drawn if not given."
+    "--request", help="Id of the request; the same id sent again is carried out once. Default: a random one."
 )
 
 
 @click.group()
 def configuration() -> None:
-    """Change what every director has in force, and see how far a change has come."""
+    """Change the configuration of all directors, and see how far a change has come."""
 
 
 @configuration.command()
@@ -96,11 +96,11 @@
 @_at
 @_request
 def put(file: Path, url: str, request: str | None) -> None:
-    """Set the things that a JSON file names; a value of null in it withdraws a title.
+    """Set the keys of a JSON file; the value null withdraws a title.
 
-    The file is an object: a key of kind and name (`titles/t1`), a value of that kind's form. A member
-    "removes" lists keys that go back to what each director's own files say. Exit code 0: committed; 1:
-    refused; 6: not known, the same order may be sent again under its name.
+    The file is an object; a key consists of kind and name (`titles/t1`), its value depends on the kind. The
+    member "removes" lists keys that return to the state of each director's own files. Exit code 0: committed;
+    1: refused; 6: unknown, the same request may be sent again with its id.
 
     \b
     Example:
@@ -109,7 +109,7 @@
     try:
         change = _read_change(file)
     except (OSError, EntryError) as error:
-        _end(BAD_FILES, f"{file}: {error}")
+        _fail(EXIT_BAD_FILES, f"{file}: {error}")
         return
     _send(url, ChangeRequest(request or secrets.token_hex(8), change))
 
@@ -119,7 +119,7 @@
 @_at
 @_request
 def withdraw(version: int, url: str, request: str | None) -> None:
-    """Take a version back: what it set goes back to what it was, unless a later version has set it again.
+    """Revert a version: restore the keys that it changed, except those that a later version has changed.
 
     \b
     Example:
@@ -131,19 +131,19 @@
 @configuration.command()
 @click.option("--at", "url", required=True, help="Any control server, as http://host:port.")
 def status(url: str) -> None:
-    """Print as JSON what a control server knows: versions, what is in force, refusals, changes taken back."""
-    answer = _call(url, "GET", messages.STATUS, b"")
+    """Print a control server's status as JSON: versions, applied version, refusals, reverted changes."""
+    answer = _call(url, "GET", messages.STATUS_PATH, b"")
     click.echo(json.dumps(msgspec.to_builtins(_decode_status(answer.body)), indent=2))
 
 
 def _read_change(file: Path) -> Change:
     """Raises OSError and EntryError, which names key and field."""
     try:
-        found = _decode_change(file.read_bytes())
+        response = _decode_change(file.read_bytes())
     except msgspec.MsgspecError as error:
         raise EntryError(str(error)) from error
-    removes = found.pop("removes", [])
-    raw = {"puts": {key: json.dumps(value) for key, value in found.items()}, "removes": removes}
+    removes = response.pop("removes", [])
+    raw = {"puts": {key: json.dumps(value) for key, value in response.items()}, "removes": removes}
     try:
         change = msgspec.convert(raw, Change)
     except msgspec.ValidationError as error:
@@ -154,35 +154,38 @@
 
 
 def _send(url: str, request: ChangeRequest) -> None:
-    answer = _decode_answer(_call(url, "POST", messages.ORDERS, msgspec.json.encode(request)).body)
+    answer = _decode_response(_call(url, "POST", messages.CHANGES_PATH, msgspec.json.encode(request)).body)
     if answer.outcome is Outcome.COMMITTED:
         click.echo(json.dumps({"request": request.request_id, "version": answer.version}))
         return
-    code = REFUSED if answer.outcome is Outcome.REFUSED else UNKNOWN
-    _end(code, f"request {request.request_id}: {answer.outcome.value}: {answer.reason}")
+    code = EXIT_REFUSED if answer.outcome is Outcome.REFUSED else EXIT_UNKNOWN
+    _fail(code, f"request {request.request_id}: {answer.outcome.value}: {answer.reason}")
 
 
 def _call(url: str, method: str, path: str, body: bytes) -> Answer:
     address = urlsplit(url)
     if address.scheme != "http" or not address.hostname or not address.port:
-        raise click.BadParameter("is not http://host:port", param_hint="--at")
+        raise click.BadParameter(f"{url} is not http://host:port", param_hint="--at")
 
     async def work() -> Answer | Failure:
         loop = asyncio.get_running_loop()
-        told: asyncio.Future[Answer | Failure] = loop.create_future()
+        result: asyncio.Future[Answer | Failure] = loop.create_future()
         limits = PoolLimits(connect_ms=2000.0, max_answer_bytes=MAX_STATUS_BYTES)
         pool = Pool(loop, address.hostname or "", address.port or 0, limits)
         headers = JSON_HEADERS if body else ()
-        pool.call(method, path, told.set_result, headers=headers, body=body, timeout_ms=ORDER_TIMEOUT_MS)
+        pool.call(method, path, result.set_result, headers=headers, body=body, timeout_ms=REQUEST_TIMEOUT_MS)
         try:
-            return await told
+            return await result
         finally:
             pool.close()
 
-    found = uvloop.run(work())
-    if isinstance(found, Failure):
-        _end(UNKNOWN if found.left and method == "POST" else NO_SYSTEM, f"{url}: {found.kind.value}")
+    response = uvloop.run(work())
+    if isinstance(response, Failure):
+        _fail(
+            EXIT_UNKNOWN if response.left and method == "POST" else EXIT_SYSTEM_ERROR,
+            f"{url}: {response.kind.value}",
+        )
         raise SystemExit
-    if found.status != 200:
-        _end(NO_SYSTEM, f"{url}: {found.status} {found.body[:200].decode(errors='replace')}")
-    return found
+    if response.status != 200:
+        _fail(EXIT_SYSTEM_ERROR, f"{url}: {response.status} {response.body[:200].decode(errors='replace')}")
+    return response
--- a/foxlift/control/__init__.py
+++ b/foxlift/control/__init__.py
@@ -1,1 +1,1 @@
-"""A control server's process: sockets, timers and disk around `foxlift.rollout.server`."""
+"""The control server process: sockets, timers and disk around the core `foxlift.rollout.server`."""
--- a/foxlift/control/disk_trust.py
+++ b/foxlift/control/disk_trust.py
@@ -1,7 +1,7 @@
-"""Whether a member's disk is the one of its last run: asked of the other members at the start.
+"""Checks at the start, with the other members, whether a member's disk is the one of its last run.
 
-The rules are those of `foxlift.recovery.standing`; here are its messages, in both directions. A member whose
-disk is lost learns from the answers up to which version it must say nothing (`foxlift.rollout.acceptor`).
+The rules are in `foxlift.recovery.standing`; this module sends and receives its messages. A member that lost
+its disk learns from the responses up to which version it must not vote (`foxlift.rollout.acceptor`).
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 import msgspec
 
 from foxlift.config.control import ControlConfig
-from foxlift.control.messages import HELLO, Hello, HelloResponse
+from foxlift.control.messages import HELLO_PATH, Hello, HelloResponse
 from foxlift.director.timeline import Timeline
 from foxlift.http import NamedPools
 from foxlift.recovery import standing
 from foxlift.rollout.stores import ServerStore
 
 HELLO_TIMEOUT_MS = 1000.0
-_decode_answer = msgspec.json.Decoder(HelloResponse).decode
+_decode_response = msgspec.json.Decoder(HelloResponse).decode
 
 
 class DiskTrust:
-    """One member's question; `on_trusted(lost, highest)` is called once."""
+    """The check of one member. Calls `on_trusted(was_lost, highest_version)` once, when it has ended."""
 
     def __init__(
         self,
@@ -33,34 +33,36 @@
         timeline: Timeline,
         on_trusted: Callable[[bool, int], None],
     ) -> None:
-        others = [member.name for member in config.members if member.name != config.name]
+        other_members = [member.name for member in config.members if member.name != config.name]
         self._name, self._store, self._client, self._timeline = config.name, store, client, timeline
         self._on_trusted = on_trusted
-        self._highest = 0
-        self._standing = standing.Standing(others, store.previous_boot_epoch, config.seed, config.trust_disk)
+        self._highest_version = 0
+        self._standing = standing.Standing(
+            other_members, store.previous_boot_epoch, config.seed, config.trust_disk
+        )
 
     def start(self) -> None:
-        """Ask the others."""
-        self._carry_out(self._standing.start())
+        """Send hello to the other members."""
+        self._execute(self._standing.start())
 
     def _handle(self, event: standing.Event) -> None:
-        self._carry_out(self._standing.handle(event))
+        self._execute(self._standing.handle(event))
 
-    def _carry_out(self, actions: list[standing.Action]) -> None:
+    def _execute(self, actions: list[standing.Action]) -> None:
         for action in actions:
             match action:
                 case standing.AskKnown(peer):
-                    self._say_hello(peer)
+                    self._send_hello(peer)
                 case standing.StartTimer(delay_ms):
                     self._timeline.later(delay_ms, partial(self._handle, standing.AskAgainDue()))
                 case standing.Vouch(lost):
-                    self._on_trusted(lost, self._highest)
+                    self._on_trusted(lost, self._highest_version)
 
-    def _say_hello(self, member: str) -> None:
-        def answered(answer: HelloResponse | None) -> None:
-            if answer is not None and answer.sender == member:
-                self._highest = max(self._highest, answer.highest_version)
-                self._handle(standing.Told(member, answer.previous_boot_epoch))
+    def _send_hello(self, member: str) -> None:
+        def handle_response(response: HelloResponse | None) -> None:
+            if response is not None and response.sender == member:
+                self._highest_version = max(self._highest_version, response.highest_version)
+                self._handle(standing.Told(member, response.previous_boot_epoch))
 
         body = msgspec.json.encode(Hello(self._name, self._store.boot_epoch))
-        self._client.request(member, HELLO, body, HELLO_TIMEOUT_MS, _decode_answer, answered)
+        self._client.request(member, HELLO_PATH, body, HELLO_TIMEOUT_MS, _decode_response, handle_response)
--- a/foxlift/control/messages.py
+++ b/foxlift/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between control servers that carry a sender, and the paths that they go to."""
+"""Messages between control servers that name their sender, the status message, and all HTTP paths."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from foxlift.rollout.entry import Name, Version
 from foxlift.rollout.messages import BootEpoch
 
-ORDERS = "/config/orders"
-REGISTERS = "/config/registers"
-HEARTBEATS = "/config/heartbeats"
-REPORTS = "/config/reports"
-HELLO = "/config/hello"
-STATUS = "/config/status"
+CHANGES_PATH = "/config/orders"
+REGISTERS_PATH = "/config/registers"
+HEARTBEATS_PATH = "/config/heartbeats"
+REPORTS_PATH = "/config/reports"
+HELLO_PATH = "/config/hello"
+STATUS_PATH = "/config/status"
 
 
 class RegisterRequest(msgspec.Struct, frozen=True):
@@ -29,21 +29,21 @@
 
 
 class RegisterResponse(msgspec.Struct, frozen=True):
-    """The acceptor's answer."""
+    """The acceptor's response."""
 
     sender: Name
     message: RegisterAnswer = msgspec.field(name="answer")
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """A member has started in a new run."""
+    """A member has started with a new boot epoch."""
 
     sender: Name
     boot_epoch: BootEpoch = msgspec.field(name="run")
 
 
 class HelloResponse(msgspec.Struct, frozen=True):
-    """The run known before, 0 for none, and the highest version that the answerer has taken a value of."""
+    """The previous boot epoch known of the other, 0 for none, and the highest version accepted here."""
 
     sender: Name
     previous_boot_epoch: BootEpoch = msgspec.field(name="before")
@@ -51,14 +51,14 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, rename="kebab"):
-    """A member of the group, as the answerer sees it."""
+    """A member of the group, as seen by the responding server."""
 
     name: Name
     alive: bool
 
 
 class RefusalStatus(msgspec.Struct, frozen=True, rename="kebab"):
-    """A change that a director does not take."""
+    """A change that a director refuses."""
 
     director: Name
     version: Version
@@ -67,7 +67,7 @@
 
 
 class RevertStatus(msgspec.Struct, frozen=True, rename="kebab"):
-    """A version that was taken back, by which, and why."""
+    """A reverted version, the version that reverts it, and the reason."""
 
     version: Version
     by: Version
@@ -75,10 +75,10 @@
 
 
 class Status(msgspec.Struct, frozen=True, rename="kebab"):
-    """What a control server knows, for people.
+    """A control server's status, for operators.
 
-    `head`: the last version; `released`: the last for the whole fleet; `in_force`: the oldest version in
-    force at a director that is heard of (a member: of all relays; a relay: of its own), 0 for none.
+    `head`: the last version; `released`: the last one released to the whole fleet; `in_force`: the lowest
+    version that a director has applied, 0 without directors. A member counts those of all relays.
     """
 
     name: Name
