--- a/foxlift/cli/control.py
+++ b/foxlift/cli/control.py
@@ -137,13 +137,13 @@
 
 
 def _read_change(file: Path) -> Change:
-    """Raises OSError and EntryError, which names key and field."""
+    """Read and check a change file. Raises OSError, and EntryError that names key and field."""
     try:
-        response = _decode_change(file.read_bytes())
+        values = _decode_change(file.read_bytes())
     except msgspec.MsgspecError as error:
         raise EntryError(str(error)) from error
-    removes = response.pop("removes", [])
-    raw = {"puts": {key: json.dumps(value) for key, value in response.items()}, "removes": removes}
+    removes = values.pop("removes", [])
+    raw = {"puts": {key: json.dumps(value) for key, value in values.items()}, "removes": removes}
     try:
         change = msgspec.convert(raw, Change)
     except msgspec.ValidationError as error:
--- a/foxlift/cli/ledger.py
+++ b/foxlift/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`foxlift ledger`: statements, corrections, closing, checking and merging."""
+"""`foxlift ledger`: statements, corrections, closing, verifying, exporting and merging."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 from foxlift.ledger.sources import Break, Chained, Missing, batches_of, missing_batches, read_batches
 from foxlift.store import DiskFiles, LogError
 
-BAD_FILES, NO_SYSTEM, NOT_ALLOWED, DIFFERS = 3, 4, 6, 7
+EXIT_BAD_FILES, EXIT_SYSTEM_ERROR, EXIT_NOT_ALLOWED, EXIT_DIFFERENT = 3, 4, 6, 7
 
 
-def _end(code: int, message: str) -> None:
+def _fail(code: int, message: str) -> None:
     click.echo(f"foxlift: {message}", err=True)
     sys.exit(code)
 
@@ -53,12 +53,12 @@
 def _settings(path: Path) -> tuple[DirectorConfig, Tariff]:
     config = load_director(path)
     if not config.ledger.tariff:
-        raise click.UsageError(f"{path}: states no tariff: (ledger (tariff FILE))")
+        raise click.UsageError(f"{path}: no tariff is given: (ledger (tariff FILE))")
     return config, load_tariff(Path(config.ledger.tariff))
 
 
 def _with_files(folder: Path, work: Callable[[DiskFiles], Any]) -> Any:
-    """Run with a state folder's files; errors end the command with their code."""
+    """Run `work` with the files of a state folder; errors end the command with their exit code."""
 
     async def main() -> Any:
         files = DiskFiles(folder, asyncio.get_running_loop())
@@ -70,11 +70,11 @@
     try:
         return asyncio.run(main())
     except (LogError, ConfigError) as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
     except LedgerError as error:
-        _end(NOT_ALLOWED, str(error))
+        _fail(EXIT_NOT_ALLOWED, str(error))
     except OSError as error:
-        _end(NO_SYSTEM, str(error))
+        _fail(EXIT_SYSTEM_ERROR, str(error))
 
 
 _SETTINGS = click.argument("settings", type=click.Path(path_type=Path))
@@ -83,9 +83,9 @@
 
 @click.group()
 def ledger() -> None:
-    """Use by tenant: statements, corrections, closing a period, checking and merging ledgers.
+    """Usage by tenant: statements, corrections, closing periods, verifying, exporting and merging ledgers.
 
-    Exit codes beside the usual: 6 the ledger does not allow it, 7 ledgers do not fit together.
+    Additional exit codes: 6 the ledger does not allow the operation, 7 ledgers are incomplete or changed.
     """
 
 
@@ -95,7 +95,7 @@
 @click.option("--period", required=True, help="A month, as in 2026-12.")
 @_JSON
 def statement(settings: Path, tenant: str, period: str, as_json: bool) -> None:
-    """Print what a tenant owes for a period, from the log alone; also beside a running director.
+    """Print what a tenant owes for a period, from the log file; the director may be running.
 
     \b
     Example:
@@ -104,7 +104,7 @@
     try:
         config, tariff = _settings(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
     account = _with_files(Path(config.state), lambda files: read_account(files, tariff))
     lines = owed(account, tariff, tenant, period)
@@ -125,7 +125,7 @@
         found = {"tenant": tenant, "period": period, "state": state, "currency": tariff.currency}
         click.echo(json.dumps({**found, "lines": rows, "total_micros": total}, sort_keys=True))
         return
-    table = Table("class", "what", "amount", "of it estimated", f"micro-{tariff.currency}")
+    table = Table("class", "what", "amount", "of which estimated", f"micro-{tariff.currency}")
     for line in lines:
         amount = f"{line.amount} {line.unit}".strip()
         table.add_row(line.klass, line.what, amount, str(line.estimated or ""), str(line.micros))
@@ -138,7 +138,7 @@
 @ledger.command("verify")
 @_SETTINGS
 def verify_command(settings: Path) -> None:
-    """Check the chain over every record of the ledger; names the first that was changed or taken out.
+    """Verify the hash chain over all records of the ledger; names the first changed or removed one.
 
     \b
     Example:
@@ -147,17 +147,17 @@
     try:
         config = load_director(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
     count = _with_files(Path(config.state), verify)
-    click.echo(f"{count} records, each following from those before it")
+    click.echo(f"{count} records, chain intact")
 
 
 def _write(settings: Path, event: Close | Correct | Void) -> None:
     try:
         config, tariff = _settings(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
 
     async def main() -> OSError | None:
@@ -180,28 +180,28 @@
     try:
         failure = asyncio.run(main())
     except (LogError, ConfigError) as problem:
-        _end(BAD_FILES, str(problem))
+        _fail(EXIT_BAD_FILES, str(problem))
     except LedgerError as problem:
-        _end(NOT_ALLOWED, str(problem))
+        _fail(EXIT_NOT_ALLOWED, str(problem))
     except OSError as problem:
-        _end(NO_SYSTEM, str(problem))
+        _fail(EXIT_SYSTEM_ERROR, str(problem))
     else:
         if failure is not None:
-            _end(NO_SYSTEM, f"not written: {failure}")
+            _fail(EXIT_SYSTEM_ERROR, f"not written: {failure}")
         click.echo("written")
 
 
 @ledger.command()
 @_SETTINGS
-@click.option("--entry", required=True, help="A name of its own for the entry.")
+@click.option("--entry", required=True, help="A unique name for the entry.")
 @click.option("--tenant", required=True)
 @click.option("--class", "klass", required=True)
-@click.option("--period", default="", help="The period that is corrected.")
-@click.option("--corrects", default="", help="The entry that is corrected, instead of a period.")
+@click.option("--period", default="", help="The corrected period.")
+@click.option("--corrects", default="", help="The corrected entry, instead of a period.")
 @click.option("--attempts", type=int, default=0)
 @click.option("--ms", type=int, default=0)
-@click.option("--micros", type=int, required=True, help="Millionths of the currency unit, may be negative.")
-@click.option("--by", required=True, help="Who corrects.")
+@click.option("--micros", type=int, required=True, help="Millionths of the currency unit; may be negative.")
+@click.option("--by", required=True, help="The author of the correction.")
 @click.option("--why", required=True)
 def correct(
     settings: Path,
@@ -216,7 +216,7 @@
     by: str,
     why: str,
 ) -> None:
-    """Write an adjusting entry into the open period; the director must not run meanwhile.
+    """Write an adjusting entry into the open period; the director must not be running.
 
     \b
     Example:
@@ -228,12 +228,12 @@
 
 @ledger.command()
 @_SETTINGS
-@click.option("--entry", required=True, help="A name of its own for the entry.")
-@click.option("--corrects", required=True, help="The entry that is taken back.")
+@click.option("--entry", required=True, help="A unique name for the entry.")
+@click.option("--corrects", required=True, help="The entry to cancel.")
 @click.option("--by", required=True)
 @click.option("--why", required=True)
 def void(settings: Path, entry: str, corrects: str, by: str, why: str) -> None:
-    """Take an adjusting entry back, whole.
+    """Cancel an adjusting entry completely.
 
     \b
     Example:
@@ -246,7 +246,7 @@
 @_SETTINGS
 @click.argument("period")
 def close_command(settings: Path, period: str) -> None:
-    """Close a period that is over, before its grace ends; the director must not run meanwhile.
+    """Close a period that has ended, before its grace time is over; the director must not be running.
 
     \b
     Example:
@@ -255,19 +255,35 @@
     _write(settings, Close(period))
 
 
-SHOWN = 20  # overlaps in the table; all named ones stand in the JSON
-COLUMNS = ("number", "kind", "at", "when", "session", "token", "tenant", "klass", "rung", "paid", "estimated")
+MAX_SHOWN_OVERLAPS = 20  # in the table; the JSON output lists more
+CSV_COLUMNS = (
+    "number",
+    "kind",
+    "at",
+    "when",
+    "session",
+    "token",
+    "tenant",
+    "klass",
+    "rung",
+    "paid",
+    "estimated",
+)
 
 
 @ledger.command()
 @_SETTINGS
 @click.option("--to", "folder", type=click.Path(path_type=Path), help="Export batches into this folder.")
-@click.option("--csv", "table", type=click.Path(path_type=Path), help="Write every record as a row instead.")
-@click.option("--parquet", type=click.Path(path_type=Path), help="As Parquet; needs foxlift[parquet].")
+@click.option(
+    "--csv", "table", type=click.Path(path_type=Path), help="Write all records as rows to this file instead."
+)
+@click.option(
+    "--parquet", type=click.Path(path_type=Path), help="Write all records as Parquet; needs foxlift[parquet]."
+)
 def export(settings: Path, folder: Path | None, table: Path | None, parquet: Path | None) -> None:
-    """Export what has not been exported, as batches; or print the whole ledger as CSV.
+    """Export the records that are not exported yet, as batches; or write the whole ledger as CSV or Parquet.
 
-    Batches go by the ledger's own account of what was accepted: the director must not run meanwhile. CSV and
+    What has been exported is recorded in the ledger itself: the director must not be running. CSV and
     Parquet are copies for reading and change nothing.
 
     \b
@@ -276,11 +292,11 @@
       foxlift ledger export director.sexp --csv ledger.csv
     """
     if sum(option is not None for option in (folder, table, parquet)) != 1:
-        raise click.UsageError("one of --to, --csv, --parquet")
+        raise click.UsageError("exactly one of --to, --csv, --parquet is needed")
     try:
         config = load_director(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
     if table is not None:
         count = _with_files(Path(config.state), lambda files: _write_csv(files, table))
@@ -298,10 +314,10 @@
     count = 0
     with open(path, "w", newline="", encoding="utf-8") as file:
         writer = csv.writer(file)
-        writer.writerow(COLUMNS)
+        writer.writerow(CSV_COLUMNS)
         for number, linked in read_records(files):
             row = msgspec.to_builtins(linked.record)
-            writer.writerow([number, row["type"], *(row.get(name, "") for name in COLUMNS[2:])])
+            writer.writerow([number, row["type"], *(row.get(name, "") for name in CSV_COLUMNS[2:])])
             count += 1
     return count
 
@@ -338,30 +354,32 @@
         if failed:
             raise failed[0]
         if not drained:
-            raise LedgerError("stopped: a later exporter has begun, or the folder holds other batches")
+            raise LedgerError("stopped: a later exporter has started, or the folder holds other batches")
         return done
 
     try:
         click.echo(f"{asyncio.run(main())} records exported")
     except LogError as problem:
-        _end(BAD_FILES, str(problem))
+        _fail(EXIT_BAD_FILES, str(problem))
     except LedgerError as problem:
-        _end(NOT_ALLOWED, str(problem))
+        _fail(EXIT_NOT_ALLOWED, str(problem))
     except OSError as problem:
-        _end(NO_SYSTEM, str(problem))
+        _fail(EXIT_SYSTEM_ERROR, str(problem))
 
 
 @ledger.command()
 @click.argument(
     "sources", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True, file_okay=False)
 )
-@click.option("--expect", multiple=True, help="A director that must be there; may be given several times.")
+@click.option(
+    "--expect", multiple=True, help="A director whose ledger must be among them; may be given several times."
+)
 @_JSON
 def reconcile(sources: tuple[Path, ...], expect: tuple[str, ...], as_json: bool) -> None:
     """Merge the ledgers of several directors: folders of exported batches, state folders, or copies.
 
-    Names attempts in two ledgers (and which one counts), missing batches and records, directors that are not
-    there, records that were changed, one viewer in two sessions at once, and clocks that are apart.
+    Lists attempts that are in two ledgers (and which one counts), missing batches, records and directors,
+    changed records, viewers with two sessions at the same time, and differing clocks.
 
     \b
     Examples:
@@ -373,19 +391,19 @@
     with tempfile.TemporaryDirectory(prefix="foxlift-merge-") as folder:
         merger = Reconciler(Path(folder))
 
-        def take(name: str, rows: Iterable[tuple[int, Linked]]) -> None:
+        def add_records(name: str, rows: Iterable[tuple[int, Linked]]) -> None:
             chained = Chained(name)
             merger.add(name, chained.records(rows))
             breaks.extend(chained.breaks)
 
         def from_state(files: DiskFiles, name: str) -> None:
-            take(name, read_records(files))
+            add_records(name, read_records(files))
 
         def from_batches(files: DiskFiles) -> bool:
             found = batches_of(files.names())
             for name, batches in found.items():
                 missing.extend(missing_batches(name, (number for number, _ in batches)))
-                take(name, read_batches(batches, lambda file: files.read(file) or b""))
+                add_records(name, read_batches(batches, lambda file: files.read(file) or b""))
             return bool(found)
 
         for source in sources:
@@ -406,15 +424,18 @@
         _print_merged(result)
     for gap in result.gaps:
         click.echo(f"{gap.instance}: records {gap.first} to {gap.last} are missing", err=True)
-    for lost in missing:
-        click.echo(f"{lost.instance}: batches {lost.first} to {lost.last} are missing", err=True)
-    for found_break in breaks:
-        where = f"{found_break.instance}: record {found_break.number}"
-        click.echo(f"{where} does not follow from the one before it: changed or taken out", err=True)
+    for missing_range in missing:
+        click.echo(
+            f"{missing_range.instance}: batches {missing_range.first} to {missing_range.last} are missing",
+            err=True,
+        )
+    for chain_break in breaks:
+        where = f"{chain_break.instance}: record {chain_break.number}"
+        click.echo(f"{where} does not follow from the record before it: changed or removed", err=True)
     for name in absent:
-        click.echo(f"{name}: nothing of this director is there", err=True)
+        click.echo(f"{name}: no records of this director", err=True)
     if result.gaps or missing or breaks or absent:
-        sys.exit(DIFFERS)
+        sys.exit(EXIT_DIFFERENT)
 
 
 def _print_merged(result: Reconciled) -> None:
@@ -427,11 +448,11 @@
     click.echo(f"{ledgers} ledgers, {result.records} records, {open_} sessions open")
     click.echo(f"{result.duplicate_count} attempts in two ledgers")
     for found in result.duplicates:
-        click.echo(f"  {found.token}: stands in {found.stands}, dropped from {found.dropped}")
-    click.echo(f"{result.overlap_count} times one viewer in two sessions at once")
-    for overlap in result.overlaps[:SHOWN]:
-        sure = ", an end estimated" if overlap.estimated else ""
-        click.echo(f"  {overlap.viewer}: {overlap.first} and {overlap.second}, {overlap.ms} ms{sure}")
+        click.echo(f"  {found.token}: counted in {found.stands}, dropped from {found.dropped}")
+    click.echo(f"{result.overlap_count} times a viewer had two sessions at the same time")
+    for overlap in result.overlaps[:MAX_SHOWN_OVERLAPS]:
+        suffix = ", one end estimated" if overlap.estimated else ""
+        click.echo(f"  {overlap.viewer}: {overlap.first} and {overlap.second}, {overlap.ms} ms{suffix}")
     for clock in result.clocks:
-        word = "ahead of" if clock.ms > 0 else "behind"
-        click.echo(f"clock of {clock.of}: {abs(clock.ms)} ms {word} the others")
+        direction = "ahead of" if clock.ms > 0 else "behind"
+        click.echo(f"clock of {clock.of}: {abs(clock.ms)} ms {direction} the others")
--- a/foxlift/cli/main.py
+++ b/foxlift/cli/main.py
@@ -1,8 +1,8 @@
 """`foxlift`: serve, rehearse, try, token, check-config, zone, ledger, standin.
 
-Exit codes: 0 done (for `rehearse`: and every rule kept), 1 a rule was broken or
-a ledger differs from the sockets, 2 wrong usage, 3 settings or
-files cannot be used, 4 the system does not let it run (ports, disk), 5 a process of a rehearsal failed.
+Exit codes: 0 success (`rehearse`: and all rules kept), 1 a rule was broken or a ledger differs from the
+recorded traffic, 2 wrong usage, 3 invalid settings or files, 4 a system error (ports, disk), 5 a process of a
+rehearsal failed.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 
 T = TypeVar("T")
 
-BROKEN_RULE, BAD_FILES, NO_SYSTEM, CHILD_FAILED = 1, 3, 4, 5
+EXIT_RULE_BROKEN, EXIT_BAD_FILES, EXIT_SYSTEM_ERROR, EXIT_CHILD_FAILED = 1, 3, 4, 5
 
 
 def _run(work: Coroutine[Any, Any, T]) -> T:
     return uvloop.run(work)
 
 
-def _end(code: int, message: str) -> None:
+def _fail(code: int, message: str) -> None:
     click.echo(f"foxlift: {message}", err=True)
     sys.exit(code)
 
@@ -61,20 +61,20 @@
 
     \b
     Examples:
-      foxlift rehearse                     a bad day on stand-ins, judged by the six rules
-      foxlift check-config director.sexp   settings, keys, catalogue: is all in order?
+      foxlift rehearse                     a day with faults on stand-ins, checked by six rules
+      foxlift check-config director.sexp   check settings, keys and catalogue
       foxlift serve director.sexp          run a director
     """
 
 
 _log_format = click.option(
-    "--log-format", type=click.Choice(["console", "json"]), default="console", help="Form of the log lines."
+    "--log-format", type=click.Choice(["console", "json"]), default="console", help="Format of the log lines."
 )
 _log_level = click.option(
     "--log-level",
     type=click.Choice(["debug", "info", "warning", "error"]),
     default="info",
-    help="Least level.",
+    help="Lowest level that is logged.",
 )
 
 
@@ -82,12 +82,18 @@
 @click.argument("settings", type=click.Path(path_type=Path))
 @_log_format
 @_log_level
-@click.option("--clock-ahead-s", type=float, default=0.0, hidden=True, help="For rehearsals: a wrong clock.")
+@click.option(
+    "--clock-ahead-s",
+    type=float,
+    default=0.0,
+    hidden=True,
+    help="For rehearsals: seconds by which the clock is ahead.",
+)
 def serve(settings: Path, log_format: str, log_level: str, clock_ahead_s: float) -> None:
     """Run a director until SIGTERM or SIGINT.
 
-    Says one line of JSON with its port on standard output when it listens; logs go to standard error. On
-    SIGTERM it takes no new session, answers what it holds and lets sessions play for stop-time-ms.
+    Prints one line of JSON with its port on standard output once it listens; logs go to standard error. On
+    SIGTERM it accepts no new session, answers open requests and lets sessions play for stop-time-ms.
 
     \b
     Example:
@@ -97,7 +103,7 @@
     try:
         config = load_director(settings)
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
 
     async def work() -> None:
@@ -119,17 +125,17 @@
     try:
         _run(work())
     except OSError as error:
-        _end(NO_SYSTEM, f"cannot run: {error}")
+        _fail(EXIT_SYSTEM_ERROR, f"cannot run: {error}")
     except (ConfigError, LogError, ValueError) as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
 
 
 @main.command("check-config")
 @click.argument("settings", type=click.Path(path_type=Path))
 def check_config(settings: Path) -> None:
-    """Check a director's settings, keys, catalogue and tariff; starts nothing.
+    """Check a director's settings, keys, catalogue and tariff without starting anything.
 
-    Names the sources whose renditions do not fit a class's ladder; they play all the same.
+    Lists the sources whose renditions do not match a class's ladder; these can be played nevertheless.
 
     \b
     Example:
@@ -143,12 +149,12 @@
         if config.ledger.tariff:
             load_tariff(Path(config.ledger.tariff))
     except (ConfigError, ValueError) as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
     for line in ladder_mismatches(config, catalogue):
         click.echo(line)
     click.echo(
-        f"{settings}: in order: director {config.name}, {len(config.fleet.classes)} classes,"
+        f"{settings}: valid: director {config.name}, {len(config.fleet.classes)} classes,"
         f" {len(catalogue.titles)} titles (catalogue version {catalogue.version})"
     )
 
@@ -157,9 +163,9 @@
 @click.argument("settings", type=click.Path(path_type=Path))
 @click.option("--title", required=True, help="The title that may be played.")
 @click.option("--class", "klass", required=True, help="The session's class.")
-@click.option("--tenant", required=True, help="Whose viewer it is.")
-@click.option("--viewer", default="someone", show_default=True, help="Who watches.")
-@click.option("--id", "token_id", help="The token's id; drawn where it is not given.")
+@click.option("--tenant", required=True, help="The viewer's tenant.")
+@click.option("--viewer", default="someone", show_default=True, help="The viewer's name.")
+@click.option("--id", "token_id", help="The token's id. Default: a random one.")
 @click.option("--for", "seconds", type=int, default=3600, show_default=True, help="Seconds until it expires.")
 @click.option("--best", type=int, help="Highest rung that the viewer can use.")
 def token(
@@ -182,9 +188,9 @@
         config = load_director(settings)
         keys = load_keys(Path(config.tokens.keys))
     except (ConfigError, ValueError) as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
-    made = SessionToken(
+    session_token = SessionToken(
         id=token_id or secrets.token_urlsafe(12),
         viewer=viewer,
         title=title,
@@ -193,18 +199,30 @@
         expires=int(time.time()) + seconds,
         best_rung=best,
     )
-    click.echo(Issuer(keys, config.tokens.issuer, config.tokens.audience).issue(made))
+    click.echo(Issuer(keys, config.tokens.issuer, config.tokens.audience).issue(session_token))
 
 
 @main.command()
 @click.argument("scenario", default="bad-day")
 @click.option("--seed", type=int, default=1, show_default=True, help="Seed of viewers, boxes and players.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Keep settings, logs and taps here.")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    help="Folder in which settings, logs and recorded traffic are kept.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the report as one line of JSON.")
 @click.option("--quiet", is_flag=True, help="No progress lines.")
-@click.option("--faults", type=click.IntRange(0, 1000), help="So many faults from the seed, not the script.")
-@click.option("--only", help="Of those faults only these, by number: 0,3,4.")
-@click.option("--shrink", "plays", type=click.IntRange(0), default=0, help="Plays to shrink a broken day.")
+@click.option(
+    "--faults", type=click.IntRange(0, 1000), help="Replace the script by so many faults drawn from the seed."
+)
+@click.option("--only", help="Only these of the drawn faults, by number: 0,3,4.")
+@click.option(
+    "--shrink",
+    "plays",
+    type=click.IntRange(0),
+    default=0,
+    help="Number of runs to find a smaller set of faults that breaks a rule.",
+)
 def rehearse(
     scenario: str,
     seed: int,
@@ -215,12 +233,12 @@
     only: str | None,
     plays: int,
 ) -> None:
-    """Run a scripted day on stand-ins and judge the six rules from the sockets' traffic.
+    """Run a scripted day on stand-ins and check six rules against the recorded traffic.
 
     SCENARIO is the name of a built-in day (bad-day, billing-day, short-day, takeover, short-takeover) or a
-    scenario file. With --faults the day has faults drawn from the seed between directors, boxes and list;
-    where a rule breaks, --shrink looks for the least of them that break it and prints the command that plays
-    those again.
+    scenario file. With --faults, faults between directors, boxes and box list are drawn from the seed. If a
+    rule is broken, --shrink looks for a smaller set of them that still breaks one and prints the command
+    for that set.
 
     \b
     Examples:
@@ -232,16 +250,16 @@
     try:
         day = load_scenario(Path(scenario)) if scenario.endswith(".sexp") else built_in(scenario)
     except KeyError:
-        raise click.BadParameter(f"no built-in day is called {scenario}") from None
+        raise click.BadParameter(f"no built-in day is named {scenario}") from None
     except ConfigError as error:
-        _end(BAD_FILES, str(error))
+        _fail(EXIT_BAD_FILES, str(error))
         return
 
     if faults is None and (only or plays):
-        raise click.BadParameter("goes with --faults", param_hint="--only, --shrink")
+        raise click.BadParameter("only valid with --faults", param_hint="--only, --shrink")
     try:
-        chosen = None if only is None else tuple(int(number) for number in only.split(","))
-        drawn = day if faults is None else with_faults(day, seed, faults, chosen)
+        selected = None if only is None else tuple(int(number) for number in only.split(","))
+        played_day = day if faults is None else with_faults(day, seed, faults, selected)
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--only") from None
 
@@ -249,50 +267,50 @@
         if not quiet:
             click.echo(f"{at_s:6.1f} s  {text}", err=True)
 
-    async def breaks(part: tuple[int, ...]) -> bool:
-        progress(0.0, f"again with {len(part)} of the faults")
-        with tempfile.TemporaryDirectory(prefix="foxlift-day-") as made:
-            again = with_faults(day, seed, faults or 0, part)
-            return not (await run_day(again, seed, Path(made), lambda at_s, text: None)).kept
+    async def breaks_rule(fault_numbers: tuple[int, ...]) -> bool:
+        progress(0.0, f"running again with {len(fault_numbers)} of the faults")
+        with tempfile.TemporaryDirectory(prefix="foxlift-day-") as folder_name:
+            reduced_day = with_faults(day, seed, faults or 0, fault_numbers)
+            return not (await run_day(reduced_day, seed, Path(folder_name), lambda at_s, text: None)).kept
 
     try:
         if folder is not None:
-            result = _run(run_day(drawn, seed, folder, progress))
+            result = _run(run_day(played_day, seed, folder, progress))
         else:
-            with tempfile.TemporaryDirectory(prefix="foxlift-day-") as made:
-                result = _run(run_day(drawn, seed, Path(made), progress))
+            with tempfile.TemporaryDirectory(prefix="foxlift-day-") as folder_name:
+                result = _run(run_day(played_day, seed, Path(folder_name), progress))
         if faults is not None and not result.kept:
-            part = chosen or tuple(range(len(drawn.steps)))
-            part = _run(shrink(part, breaks, plays))
-            numbers = ",".join(map(str, part))
-            again = f"foxlift rehearse {scenario} --seed {seed} --faults {faults} --only {numbers}"
-            click.echo(again, err=True)
+            fault_numbers = selected or tuple(range(len(played_day.steps)))
+            fault_numbers = _run(shrink(fault_numbers, breaks_rule, plays))
+            numbers = ",".join(map(str, fault_numbers))
+            rerun_command = f"foxlift rehearse {scenario} --seed {seed} --faults {faults} --only {numbers}"
+            click.echo(rerun_command, err=True)
     except ChildError as error:
-        _end(CHILD_FAILED, str(error))
+        _fail(EXIT_CHILD_FAILED, str(error))
         return
     except OSError as error:
-        _end(NO_SYSTEM, f"cannot run: {error}")
+        _fail(EXIT_SYSTEM_ERROR, f"cannot run: {error}")
         return
     if as_json:
         click.echo(write_json(result))
     else:
         print_report(result, Console())
     if result.verdict.broken or result.billing.differences:
-        sys.exit(BROKEN_RULE)
+        sys.exit(EXIT_RULE_BROKEN)
     if any(result.exits.values()):
-        sys.exit(CHILD_FAILED)
+        sys.exit(EXIT_CHILD_FAILED)
 
 
 @main.command()
 @click.argument("order", type=click.Choice(["empty", "return", "hold", "clear"]))
 @click.argument("name")
-@click.option("--at", "url", required=True, help="A director's peers' listener, as http://host:port.")
+@click.option("--at", "url", required=True, help="A director's listener for peers, as http://host:port.")
 def zone(order: str, name: str, url: str) -> None:
-    """Give an order on a zone to the directors, before all evidence.
+    """Give the directors an order for a zone, which overrides what they observe.
 
-    empty: its viewers are sent elsewhere, as far as others have room; return: step by step back to near,
-    whatever is reported; hold: as it is; clear: by evidence again. An order that nobody clears is over after
-    a day. Any director takes it and tells the makers of plans.
+    empty: move its viewers to other zones as far as those have room; return: move them back step by step,
+    whatever is reported; hold: keep the present state; clear: follow observations again. An order that nobody
+    clears ends after a day. Any director accepts the order and passes it on to the directors that plan.
 
     \b
     Example:
@@ -300,43 +318,51 @@
     """
     address = urlsplit(url)
     if address.scheme != "http" or not address.hostname or not address.port:
-        raise click.BadParameter("is not http://host:port", param_hint="--at")
+        raise click.BadParameter(f"{url} is not http://host:port", param_hint="--at")
     body = json.dumps({"zone": name, "order": None if order == "clear" else order}).encode()
 
     async def work() -> Answer | Failure:
         loop = asyncio.get_running_loop()
-        told: asyncio.Future[Answer | Failure] = loop.create_future()
+        result: asyncio.Future[Answer | Failure] = loop.create_future()
         pool = Pool(loop, address.hostname or "", address.port or 0, PoolLimits(connect_ms=2000.0))
         headers = (("content-type", "application/json"),)
-        pool.call("POST", "/peers/order", told.set_result, headers=headers, body=body, timeout_ms=5000.0)
+        pool.call("POST", "/peers/order", result.set_result, headers=headers, body=body, timeout_ms=5000.0)
         try:
-            return await told
+            return await result
         finally:
             pool.close()
 
-    found = _run(work())
-    if isinstance(found, Failure):
-        _end(NO_SYSTEM, f"{url}: {found.kind.value}")
-    elif found.status != 204:
-        title = json.loads(found.body or b"{}").get("title", "")
-        _end(BAD_FILES, f"{url}: {found.status} {title}")
+    response = _run(work())
+    if isinstance(response, Failure):
+        _fail(EXIT_SYSTEM_ERROR, f"{url}: {response.kind.value}")
+    elif response.status != 204:
+        title = json.loads(response.body or b"{}").get("title", "")
+        _fail(EXIT_BAD_FILES, f"{url}: {response.status} {title}")
     else:
-        click.echo(f"{name}: {order}; told to {url}")
+        click.echo(f"{name}: {order}; accepted by {url}")
 
 
 @main.command("try")
 @click.option(
     "--media",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
-    help="Folder with CMAF segments and one .mpd; the sample title where it is not given.",
+    help="Folder with CMAF segments and one .mpd file. Default: the sample title.",
+)
+@click.option(
+    "--boxes", type=click.IntRange(1, 50), default=3, show_default=True, help="Number of stand-in boxes."
+)
+@click.option("--paid", is_flag=True, help="Paid session: set up only once, and resumed after a pause.")
+@click.option("--port", type=int, default=0, help="The director's port. Default: a free one.")
+@click.option("--origin", "origins", multiple=True, help="Allowed CORS origins. Default: any.")
+@click.option(
+    "--pause",
+    type=float,
+    default=30.0,
+    show_default=True,
+    help="Seconds until the place of an idle session is released.",
 )
-@click.option("--boxes", type=click.IntRange(1, 50), default=3, show_default=True, help="Stand-in boxes.")
-@click.option("--paid", is_flag=True, help="The session is paid: set up once, and taken up after a pause.")
-@click.option("--port", type=int, default=0, help="The director's port; a free one where it is not given.")
-@click.option("--origin", "origins", multiple=True, help="Origins of pages to let in; any by default.")
-@click.option("--pause", type=float, default=30.0, show_default=True, help="Seconds until a place is let go.")
-@click.option("--seconds", type=float, help="End by itself after so long.")
-@click.option("--json", "as_json", is_flag=True, help="Print URLs as one line of JSON.")
+@click.option("--seconds", type=float, help="Stop after so many seconds.")
+@click.option("--json", "as_json", is_flag=True, help="Print the URLs as one line of JSON.")
 def try_command(
     media: Path | None,
     boxes: int,
@@ -349,8 +375,8 @@
 ) -> None:
     """Start a director and boxes with a title of real media, and print a manifest URL for any DASH player.
 
-    Then tells what is decided as it happens: rung, box, and the player's buffer where it sends CMCD. Ctrl-C
-    ends all. The sample title needs the extra: pip install 'foxlift[media]'.
+    Then prints each decision as it is made: rung, box, and the player's buffer if it sends CMCD. Ctrl-C stops
+    everything. The sample title needs an extra: pip install 'foxlift[media]'.
 
     \b
     Examples:
@@ -358,19 +384,21 @@
       foxlift try --media /srv/titles/lesson --paid
     """
     configure_logs("console", "error")
-    with tempfile.TemporaryDirectory(prefix="foxlift-try-") as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory(prefix="foxlift-try-") as folder_name:
+        folder = Path(folder_name)
         if media is None:
             try:
                 from foxlift.standins.sample import make_sample
             except ImportError:
-                raise click.UsageError("no --media, and the sample needs foxlift[media]") from None
+                raise click.UsageError(
+                    "without --media the sample title is needed, and it needs foxlift[media]"
+                ) from None
             click.echo("making the sample title ...", err=True)
             media = folder / "media"
             make_sample(media)
         manifests = sorted(media.glob("*.mpd"))
         if len(manifests) != 1:
-            raise click.UsageError(f"{media}: holds {len(manifests)} .mpd files, one is needed")
+            raise click.UsageError(f"{media}: {len(manifests)} .mpd files; exactly one is needed")
         plan = TrialPlan(media, manifests[0], boxes, paid, port, 0, origins or ("*",), pause)
 
         async def work() -> None:
@@ -394,14 +422,14 @@
         try:
             _run(work())
         except OSError as error:
-            _end(NO_SYSTEM, f"cannot run: {error}")
+            _fail(EXIT_SYSTEM_ERROR, f"cannot run: {error}")
         except (ConfigError, LogError, ValueError) as error:
-            _end(BAD_FILES, str(error))
+            _fail(EXIT_BAD_FILES, str(error))
 
 
 @main.group()
 def standin() -> None:
-    """Stand-ins for the outside, for rehearsals and by hand."""
+    """Stand-ins for boxes and the box list, for rehearsals and manual tests."""
 
 
 @standin.command("fleet")
@@ -409,7 +437,7 @@
 def standin_fleet(plan: Path) -> None:
     """Run the media boxes, the box list and the control socket of a fleet plan (JSON).
 
-    Says one line of JSON with all ports on standard output. Commands go to the control port, for example
+    Prints one line of JSON with all ports on standard output. Commands go to the control port, for example
     {"do": "die", "box": "b3"}.
 
     \b
@@ -417,14 +445,14 @@
       foxlift standin fleet fleet.json
     """
     try:
-        made = msgspec.json.decode(plan.read_bytes(), type=FleetPlan)
+        fleet_plan = msgspec.json.decode(plan.read_bytes(), type=FleetPlan)
     except (OSError, msgspec.MsgspecError) as error:
-        _end(BAD_FILES, f"{plan}: {error}")
+        _fail(EXIT_BAD_FILES, f"{plan}: {error}")
         return
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        fleet = Fleet(made, loop)
+        fleet = Fleet(fleet_plan, loop)
         await fleet.start()
         ports = {name: box.port for name, box in fleet.boxes.items()}
         click.echo(json.dumps({"boxes": ports, "list": fleet.list_port, "control": fleet.control_port}))
@@ -438,7 +466,7 @@
     try:
         _run(work())
     except OSError as error:
-        _end(NO_SYSTEM, f"cannot run: {error}")
+        _fail(EXIT_SYSTEM_ERROR, f"cannot run: {error}")
 
 
 main.add_command(ledger)
--- a/foxlift/control/status.py
+++ b/foxlift/control/status.py
@@ -42,5 +42,5 @@
 
 
 def _reverts(core: ControlServer) -> tuple[RevertStatus, ...]:
-    reverts = [entry for entry in core.log.entries if entry.reverts][-MAX_REVERTS:]
-    return tuple(RevertStatus(entry.reverts, entry.version, entry.reason) for entry in reverts)
+    revert_entries = [entry for entry in core.log.entries if entry.reverts][-MAX_REVERTS:]
+    return tuple(RevertStatus(entry.reverts, entry.version, entry.reason) for entry in revert_entries)
