--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -1,9 +1,9 @@
-"""One director without its sockets: protocol events in, things to do out.
+"""The core of a director, without I/O: takes protocol events and returns actions.
 
-The core decides nothing of who plays where: it tells the module (`foxlift/logic.py`) each event in the order
-in which it came, and carries out what the module returns. Beside the module stand the machines of
-`foxlift.decide` and `foxlift.membership`; what one gives out is fed to the next within the same call, so that
-a drain heard now is known to all of them before the next event.
+The core does not decide where a session plays: it passes each event to the module (`foxlift/logic.py`), in
+order of arrival, and carries out the actions that the module returns. It also runs the state machines of
+`foxlift.decide` and `foxlift.membership`. The output of one is fed to the next within the same call, so that
+all of them know, for example, of a drain before the next event is handled.
 """
 
 from __future__ import annotations
@@ -39,21 +39,25 @@
 from foxlift.tokens import SessionToken
 from foxlift.zones.evidence import Sight
 
-SEEN_MS = 5000.0  # how long what was met of a box tells of its zone
+CONTACT_TTL_MS = 5000.0  # how long the last contact with a box counts as evidence of its zone
 
 
-class Met(Enum):
-    """How a box was met last."""
+class Contact(Enum):
+    """How the last attempt to reach a box ended."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     SILENT = "silent"
 
 
-LOSSES = {at.Loss.CONNECT: Met.REFUSED, at.Loss.RESET: Met.REFUSED, at.Loss.TIMEOUT: Met.SILENT}
+CONTACT_OF_LOSS = {
+    at.Loss.CONNECT: Contact.REFUSED,
+    at.Loss.RESET: Contact.REFUSED,
+    at.Loss.TIMEOUT: Contact.SILENT,
+}
 
 
-ENDED = {
+OUTCOME_OF_END = {
     "done": fl.Outcome.OK,
     "left": fl.Outcome.CANCELLED,
     "parked": fl.Outcome.OK,  # to the module a session that is over: its place is free
@@ -63,7 +67,7 @@
 
 
 class Core:
-    """A director. `run` tells this process from the director's earlier ones; `secret` makes path tokens."""
+    """A director. `boot_epoch` differs from those of its earlier processes; `secret` creates path tokens."""
 
     def __init__(
         self,
@@ -82,10 +86,12 @@
         self.attempts = at.Attempts(f"{config.name}.{boot_epoch}")
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
-        self._mets: dict[int, tuple[Met, float]] = {}  # how boxes were met last, and when
-        self._shares: dict[int, tuple[float, float]] = {}  # delivered share that boxes told, and when
-        self._uses: dict[int, float] = {}  # of links, as boxes told them last
-        self._silent: dict[int, float] = {}  # boxes without word, since when on the module's clock
+        self._contacts: dict[int, tuple[Contact, float]] = {}  # the last contact with each box, and when
+        self._delivered_shares: dict[
+            int, tuple[float, float]
+        ] = {}  # share that each box reported as delivered, and when
+        self._link_uses: dict[int, float] = {}  # link use, as each box last reported it
+        self._silent: dict[int, float] = {}  # boxes whose notices are lost, since when on the module's clock
         self.boxes: dict[int, BoxEntry] = {}
         self.sessions: dict[int, ev.Session] = {}
         self._secret = secret
@@ -93,60 +99,62 @@
         self._tenants = {tenant.name: k for k, tenant in enumerate(self.settings.tenants)}
         self._zones = {name: k for k, name in enumerate(config.fleet.zones)}
         self._kinds = {name: k for k, name in enumerate(config.fleet.kinds)}
-        self._asked: dict[
+        self._requests: dict[
             int, ev.ManifestRequested
         ] = {}  # by request, only within the call that opens a session
         self._now = 0.0
-        self._out: list[ev.Action] = []
+        self._actions: list[ev.Action] = []
 
     def is_paid(self, klass: str) -> bool:
-        """Whether sessions of a class must run once."""
+        """Whether sessions of a class are paid: they must not run twice."""
         return self.settings.classes[self._classes[klass]].repeat is not fl.Repeat.FREE
 
     def knows_class(self, name: str) -> bool:
-        """Whether a token's class is one of the fleet's."""
+        """Whether the fleet has this class."""
         return name in self._classes
 
     def knows_tenant(self, name: str) -> bool:
-        """Whether a token's tenant is one of the fleet's; a fleet without tenants takes any."""
+        """Whether the fleet has this tenant; a fleet without tenants accepts any."""
         return not self._tenants or name in self._tenants
 
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
-        """Take one event in. `now` is Unix time in ms as the module's clock keeps it: it never steps back."""
-        self._now, self._out = now, []
+        """Handle one event. `now`: Unix ms on the module's clock, which never steps back."""
+        self._now, self._actions = now, []
         match event:
             case ev.ManifestRequested():
-                self._manifest_asked(event)
+                self._manifest_requested(event)
             case ev.ClientDisconnected(request):
                 self._claim(cl.HungUp(request))
             case ev.NoticeReceived(node, notice):
                 self._notice(node, notice)
             case ev.ParkedSessionMissing(number):
-                self._place_gone(number)
+                self._parked_session_missing(number)
             case ev.NoticeStreamClosed(node):
                 self._link(node, ln.Broken())
             case ev.LinkTimerDue(node, timer):
                 self._link(node, timer)
             case ev.ModuleTimerDue(token):
-                self._tell(fl.Wake(token))
+                self._notify_module(fl.Wake(token))
             case ev.IntentRecovered(known):
                 played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
                 self._claim(cl.Recalled(known.token, known.expires, played))
-                # a death may have come between the box's answer and the ledger's record of it
-                ends = int(known.expires * 1000)
-                ran = lg.Ran(int(now), known.set_up, known.token, known.tenant, known.klass, not played, ends)
-                self._out.append(ev.WriteLedgerEntry(ran))
+                # the process may have died after the box's response and before the ledger recorded it
+                expiry_ms = int(known.expires * 1000)
+                ran = lg.Ran(
+                    int(now), known.set_up, known.token, known.tenant, known.klass, not played, expiry_ms
+                )
+                self._actions.append(ev.WriteLedgerEntry(ran))
             case ev.TokenClaimFailed():
-                self._claimed_elsewhere(event)
+                self._token_claim_failed(event)
             case ev.SessionsTakenOver():
-                self._adopted(event)
+                self._sessions_taken_over(event)
             case ev.BootEpochRenewed(boot_epoch):
                 self.boot_epoch = boot_epoch
                 self._attempt(at.Renewed(f"{self.config.name}.{boot_epoch}"))
             case ev.OwnershipRefused(set_up):
-                self._taken(set_up, 0)
+                self._ownership_lost(set_up, 0)
             case ev.ZonePlanChanged(shares):
-                self._tell(fl.ZoneShares(shares))
+                self._notify_module(fl.ZoneShares(shares))
             case PollDue() | ListAnswer() | ListFailed():
                 self._list(event)
             case (
@@ -158,94 +166,106 @@
                 | at.ReleaseFailed()
             ):
                 if isinstance(event, at.Answered | at.Lost):
-                    self._met(event)
+                    self._record_contact(event)
                 self._attempt(event)
-        return self._out
+        return self._actions
 
-    # ---- What is seen of zones ----------------------------------------------------------------------------
-    def _met(self, event: at.Answered | at.Lost) -> None:
-        """A box has answered, or has not: kept for what this director reports of its zone."""
+    # ---- Evidence of zones ----------------------------------------------------------------------------
+    def _record_contact(self, event: at.Answered | at.Lost) -> None:
+        """Remember how a box was reached, as evidence for the state of its zone."""
         session = self.sessions.get(event.session)
         if session is None or not self.config.peers.makers:
             return
         if isinstance(event, at.Answered):
-            self._mets[session.node] = Met.ANSWERED, self._now
-        elif event.loss in LOSSES:
-            self._mets[session.node] = LOSSES[event.loss], self._now
+            self._contacts[session.node] = Contact.ANSWERED, self._now
+        elif event.loss in CONTACT_OF_LOSS:
+            self._contacts[session.node] = CONTACT_OF_LOSS[event.loss], self._now
 
     def zone_evidence(self, now: float) -> dict[str, Sight]:
-        """What this director sees of each zone that it has lately met a box of."""
-        fleet, found = self.config.fleet, dict[str, Sight]()
-        self._mets = {n: met for n, met in self._mets.items() if now - met[1] < SEEN_MS and n in self.boxes}
-        self._shares = {n: s for n, s in self._shares.items() if now - s[1] < SEEN_MS and n in self.boxes}
+        """This director's evidence of each zone: of boxes that it reached lately, and of its own demand."""
+        fleet, evidence = self.config.fleet, dict[str, Sight]()
+        self._contacts = {
+            n: contact
+            for n, contact in self._contacts.items()
+            if now - contact[1] < CONTACT_TTL_MS and n in self.boxes
+        }
+        self._delivered_shares = {
+            n: s for n, s in self._delivered_shares.items() if now - s[1] < CONTACT_TTL_MS and n in self.boxes
+        }
         demand = sum(self.rate_kb(session, session.rung) for session in self.sessions.values())
         for zone in fleet.zones:
-            there = [node for node, box in self.boxes.items() if box.zone == zone]
-            mets = {node: self._mets[node][0] for node in there if node in self._mets}
-            silent = {node for node in there if node in self._silent}
-            heard = {node for node in there if (link := self.links.get(node)) is not None and link.open}
-            known = len(mets.keys() | silent | heard)
-            own = demand if zone == self.config.zone else 0.0
-            if not known and not own:
+            zone_nodes = [node for node, box in self.boxes.items() if box.zone == zone]
+            contacts = {node: self._contacts[node][0] for node in zone_nodes if node in self._contacts}
+            silent = {node for node in zone_nodes if node in self._silent}
+            connected = {
+                node for node in zone_nodes if (link := self.links.get(node)) is not None and link.open
+            }
+            observed = len(contacts.keys() | silent | connected)
+            own_demand = demand if zone == self.config.zone else 0.0
+            if not observed and not own_demand:
                 continue
-            gives = sum(fleet.link_kb_per_weight * self.boxes[node].weight for node in there)
-            uses = [self._uses[node] for node in there if node in self._uses]
-            asked = gives * sum(uses) / len(uses) if uses else 0.0
-            delivered = [self._shares[node][0] for node in there if node in self._shares]
-            unmet = {node for node, met in mets.items() if met is Met.SILENT} | silent - mets.keys()
-            found[zone] = Sight(
-                boxes=known,
-                refused=sum(met is Met.REFUSED for met in mets.values()),
-                silent=len(unmet),
+            capacity_kb = sum(fleet.link_kb_per_weight * self.boxes[node].weight for node in zone_nodes)
+            uses = [self._link_uses[node] for node in zone_nodes if node in self._link_uses]
+            asked = capacity_kb * sum(uses) / len(uses) if uses else 0.0
+            delivered = [
+                self._delivered_shares[node][0] for node in zone_nodes if node in self._delivered_shares
+            ]
+            unreached = {
+                node for node, contact in contacts.items() if contact is Contact.SILENT
+            } | silent - contacts.keys()
+            evidence[zone] = Sight(
+                boxes=observed,
+                refused=sum(contact is Contact.REFUSED for contact in contacts.values()),
+                silent=len(unreached),
                 delivered=sum(delivered) / len(delivered) if delivered else 1.0,
-                gives=gives,
+                gives=capacity_kb,
                 asked=asked,
-                demand=own,
+                demand=own_demand,
             )
-        return found
+        return evidence
 
     def playing(self, token: str) -> ev.Session | None:
-        """The session that a token's holder would be shown now."""
+        """The session that a request with this token would be shown now."""
         number = self.claims.playing(token)
         return None if number is None else self.sessions.get(number)
 
     def set_up_of(self, session: ev.Session) -> str:
-        """The name of a session's set-up at its box."""
+        """The id of a session's set-up at its box."""
         return self.attempts.set_up_id(session.number, session.attempt)
 
     @property
     def waiting(self) -> int:
-        """Sessions that are asked for and not answered."""
+        """The number of sessions that are requested and not yet started."""
         return sum(1 for session in self.sessions.values() if not session.started_ms)
 
     # ---- Requests -----------------------------------------------------------------------------------------
-    def _manifest_asked(self, asked: ev.ManifestRequested) -> None:
-        token = asked.token
+    def _manifest_requested(self, event: ev.ManifestRequested) -> None:
+        token = event.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
-        self._asked[asked.request] = asked
-        self._claim(cl.Requested(asked.request, token.id, paid, token.expires, asked.expired))
-        self._asked.pop(asked.request, None)
+        self._requests[event.request] = event
+        self._claim(cl.Requested(event.request, token.id, paid, token.expires, event.expired))
+        self._requests.pop(event.request, None)
 
     def _claim(self, event: cl.Event) -> None:
         for action in self.claims.handle(self._now / 1000, event):
             match action:
                 case cl.Open(session, request, place):
-                    self._open(session, self._asked[request], place)
+                    self._open(session, self._requests[request], place)
                 case cl.Show(request, session):
-                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
+                    self._actions.append(ev.AnswerManifest(request, self.sessions[session]))
                 case cl.TellFailed(request, session):
-                    self._out.append(ev.AnswerFailed(request, session))
+                    self._actions.append(ev.AnswerFailed(request, session))
                 case cl.TurnDown(request, why):
-                    self._out.append(ev.AnswerRejected(request, why))
+                    self._actions.append(ev.AnswerRejected(request, why))
                 case cl.Withdraw(session):
                     self._withdraw(session)
                 case cl.AskAbout(request):
-                    self._out.append(ev.FindSession(request, self._token_of(request)))
+                    self._actions.append(ev.FindSession(request, self._token_of(request)))
                 case cl.TellRefused() | cl.PassOn() | cl.Adopted() | cl.Superfluous():
-                    raise AssertionError("told by whoever asked for it")
+                    raise AssertionError("only the caller that provokes this action handles it")
 
-    def _open(self, number: int, asked: ev.ManifestRequested, place: cl.Place | None) -> None:
-        token, title = asked.token, asked.title
+    def _open(self, number: int, event: ev.ManifestRequested, parked_at: cl.Place | None) -> None:
+        token, title = event.token, event.title
         klass = self._classes[token.klass]
         terms = self.settings.classes[klass]
         best = terms.top if token.best_rung is None else min(token.best_rung, terms.top)
@@ -255,23 +275,23 @@
             title,
             klass,
             terms.repeat is not fl.Repeat.FREE,
-            self._secret() if place is None else place.path_token,
-            parked_at=place,
+            self._secret() if parked_at is None else parked_at.path_token,
+            parked_at=parked_at,
             top=max(best, terms.floor),
             rung=terms.floor,
         )
         self.sessions[number] = session
         first_cell, holders = title.first_cell, title.holders
-        if place is not None:
-            box = self.boxes.get(place.node)
+        if parked_at is not None:
+            box = self.boxes.get(parked_at.node)
             if box is None:
-                self._place_gone(number)  # what was parked there went with its box
+                self._parked_session_missing(number)  # the parked session was lost with its box
                 return
-            # the one holder of this very set-up; the module decides whether it plays there now, at which rung
+            # only this box has the set-up; the module decides whether it plays there now, and at which rung
             first_cell, holders = box.cell, 1
-        # the answer has a way to go: what the network takes of the viewer's time is not the module's to spend
-        ttl_ms = max(terms.deadline_ms - asked.waited_ms - self.config.front.answer_margin_ms, 1.0)
-        self._tell(self._ask(session, first_cell, holders, ttl_ms))
+        # the response takes time on the network: it is subtracted from the time that the module may use
+        ttl_ms = max(terms.deadline_ms - event.waited_ms - self.config.front.answer_margin_ms, 1.0)
+        self._notify_module(self._ask(session, first_cell, holders, ttl_ms))
 
     def _ask(self, session: ev.Session, first_cell: int, holders: int, ttl_ms: float) -> fl.Ask:
         token, terms = session.token, self.settings.classes[session.klass]
@@ -291,110 +311,121 @@
     def _withdraw(self, number: int) -> None:
         session = self.sessions[number]
         session.withdrawn = True
-        self._tell(fl.Withdrawn(number))
+        self._notify_module(fl.Withdrawn(number))
         self._attempt(at.CallOff(number))
         if number in self.sessions and not self.attempts.holds(number):
-            self._over(session, ran=False)
+            self._close_session(session, ran=False)
 
-    def _place_gone(self, number: int) -> None:
+    def _parked_session_missing(self, number: int) -> None:
         session = self.sessions.get(number)
         if session is None:
             return
         self._claim(cl.Lapsed(number))
-        self._tell(fl.Withdrawn(number))
+        self._notify_module(fl.Withdrawn(number))
         if self.attempts.holds(number):
-            session.withdrawn = True  # its attempt ends with the answer that told this
+            session.withdrawn = True  # its attempt ends with the box's response
         else:
-            self._over(session, ran=True)
+            self._close_session(session, ran=True)
 
     def _token_of(self, request: int) -> str:
-        asked = self._asked.get(request)
+        asked = self._requests.get(request)
         return "" if asked is None else asked.token.id
 
     # ---- Between directors --------------------------------------------------------------------------------
-    def _claimed_elsewhere(self, event: ev.TokenClaimFailed) -> None:
-        """A paid session's token is another's: its requests go there, and the module forgets it."""
+    def _token_claim_failed(self, event: ev.TokenClaimFailed) -> None:
+        """Another director has the session's token: forward its requests and withdraw it from the module."""
         session = self.sessions.get(event.session)
         if session is None or not self.attempts.holds(event.session) or session.attempt != event.attempt:
             return
         session.claim_lost = session.withdrawn = True
         for action in self.claims.handle(self._now / 1000, cl.Elsewhere(event.session)):
             if isinstance(action, cl.PassOn):
-                passed = ev.ForwardRequest(action.request, event.claim)
-                self._out.append(
-                    passed if event.quorum_reached else ev.AnswerRejected(action.request, cl.Why.UNREACHED)
+                forward = ev.ForwardRequest(action.request, event.claim)
+                self._actions.append(
+                    forward if event.quorum_reached else ev.AnswerRejected(action.request, cl.Why.UNREACHED)
                 )
-        self._tell(fl.Withdrawn(event.session))
+        self._notify_module(fl.Withdrawn(event.session))
         self._attempt(at.IntentFailed(event.session, event.attempt))
 
-    def _adopted(self, event: ev.SessionsTakenOver) -> None:
-        for one in event.sessions:
-            if self.attempts.knows(one.set_up):
-                self._confirm(event.node, one)
-            elif one.token.klass in self._classes:
-                self._adopt(event, one)
-        self._link_perhaps_unwanted(event.node)
-
-    def _confirm(self, node: int, one: ev.TakenOverSession) -> None:
-        """A session of this director under its new run: what was ordered meanwhile was refused."""
-        own = self.attempts.own(one.set_up)
+    def _sessions_taken_over(self, event: ev.SessionsTakenOver) -> None:
+        for taken in event.sessions:
+            if self.attempts.knows(taken.set_up):
+                self._confirm(event.node, taken)
+            elif taken.token.klass in self._classes:
+                self._adopt(event, taken)
+        self._release_link(event.node)
+
+    def _confirm(self, node: int, taken: ev.TakenOverSession) -> None:
+        """Send the rung of a session that is owned in a new epoch: commands sent meanwhile were refused."""
+        own = self.attempts.own(taken.set_up)
         session = self.sessions.get(own[0]) if own is not None else None
-        if session is not None and not one.parked_until_s and session.rung != one.rung:
+        if session is not None and not taken.parked_until_s and session.rung != taken.rung:
             reservation = self.reservation(session, session.rung)
-            self._out.append(ev.ChangeRung(one.set_up, node, session.rung, reservation))
+            self._actions.append(ev.ChangeRung(taken.set_up, node, session.rung, reservation))
 
-    def _adopt(self, event: ev.SessionsTakenOver, one: ev.TakenOverSession) -> None:
-        """Go on with a session where its last owner left it; its box says since when."""
-        token = one.token
+    def _adopt(self, event: ev.SessionsTakenOver, taken: ev.TakenOverSession) -> None:
+        """Continue a session of its former owner; its box states since when it is owned here."""
+        token = taken.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
-        place = cl.Place(event.node, one.set_up, one.path_token)
-        adopt = cl.Adopt(token.id, paid, token.expires, place, one.parked_until_s)
+        parked_at = cl.Place(event.node, taken.set_up, taken.path_token)
+        adopt = cl.Adopt(token.id, paid, token.expires, parked_at, taken.parked_until_s)
         for action in self.claims.handle(self._now / 1000, adopt):
             match action:
                 case cl.Withdraw(session):
                     self._withdraw(session)
                 case cl.Superfluous():
-                    self._attempt(at.Drop(one.set_up, event.node))
+                    self._attempt(at.Drop(taken.set_up, event.node))
                 case cl.Adopted(number):
-                    self._resume(number, event, one, paid)
+                    self._resume(number, event, taken, paid)
                 case cl.Show(request, session):
-                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
+                    self._actions.append(ev.AnswerManifest(request, self.sessions[session]))
                 case cl.AskAbout(request):
-                    self._out.append(ev.FindSession(request, token.id))
+                    self._actions.append(ev.FindSession(request, token.id))
 
-    def _resume(self, number: int, event: ev.SessionsTakenOver, one: ev.TakenOverSession, paid: bool) -> None:
-        token, klass = one.token, self._classes[one.token.klass]
+    def _resume(
+        self, number: int, event: ev.SessionsTakenOver, taken: ev.TakenOverSession, paid: bool
+    ) -> None:
+        token, klass = taken.token, self._classes[taken.token.klass]
         terms = self.settings.classes[klass]
         best = terms.top if token.best_rung is None else min(token.best_rung, terms.top)
-        made = ev.Session(number, token, one.title, klass, paid, one.path_token, top=max(best, terms.floor))
-        made.rung, made.node, made.attempts, made.started_ms = one.rung, event.node, 1, self._now
-        made.owned_since_ms = one.owned_since_ms
-        self.sessions[number] = made
-        self._link_wanted(event.node)
-        self._attempt(at.Resumes(number, event.node, one.rung, one.set_up, event.boot, event.counter))
-        self._out.append(ev.WriteLedgerEntry(self._opened(made, one.owned_since_ms, one.set_up)))
-        self._tell(fl.Resumed(self._ask(made, one.title.first_cell, one.title.holders, 0.0), event.node))
-        self._tell(fl.Note(number, event.node, fl.NoteKind.RUNG, float(one.rung)))
-
-    def _taken(self, set_up: str, when: int) -> None:
-        """Another director owns the session now: its end here, by the box's clock, is its beginning there."""
-        found = self.attempts.own(set_up)
-        if found is None or not self.attempts.knows(set_up):
-            self._out.append(ev.DropOwnership(set_up))
+        session = ev.Session(
+            number, token, taken.title, klass, paid, taken.path_token, top=max(best, terms.floor)
+        )
+        session.rung, session.node, session.attempts, session.started_ms = (
+            taken.rung,
+            event.node,
+            1,
+            self._now,
+        )
+        session.owned_since_ms = taken.owned_since_ms
+        self.sessions[number] = session
+        self._require_link(event.node)
+        self._attempt(at.Resumes(number, event.node, taken.rung, taken.set_up, event.boot, event.counter))
+        self._actions.append(ev.WriteLedgerEntry(self._opened(session, taken.owned_since_ms, taken.set_up)))
+        self._notify_module(
+            fl.Resumed(self._ask(session, taken.title.first_cell, taken.title.holders, 0.0), event.node)
+        )
+        self._notify_module(fl.Note(number, event.node, fl.NoteKind.RUNG, float(taken.rung)))
+
+    def _ownership_lost(self, set_up: str, ended_ms: int) -> None:
+        """Another director owns the session now: by the box's clock, it ends here when it begins there."""
+        attempt = self.attempts.own(set_up)
+        if attempt is None or not self.attempts.knows(set_up):
+            self._actions.append(ev.DropOwnership(set_up))
             self._claim(cl.Lost(set_up))
             return
-        session = self.sessions.get(found[0])
-        if session is not None and 0 < when < session.owned_since_ms:
-            return  # of an earlier time that it was this director's
-        self._out.append(ev.DropOwnership(set_up))
-        self._claim(cl.Elsewhere(found[0]))
-        self._attempt(at.EndedAtBox(*found, fl.Outcome.CANCELLED, when))
+        session = self.sessions.get(attempt[0])
+        if session is not None and 0 < ended_ms < session.owned_since_ms:
+            return  # about an earlier period in which this director owned it
+        self._actions.append(ev.DropOwnership(set_up))
+        self._claim(cl.Elsewhere(attempt[0]))
+        self._attempt(at.EndedAtBox(*attempt, fl.Outcome.CANCELLED, ended_ms))
 
     # ---- The module ---------------------------------------------------------------------------------------
-    def _fault(self, words: str) -> None:
-        self._out.append(ev.WriteLog("exception", detail=words))
+    def _fault(self, message: str) -> None:
+        self._actions.append(ev.WriteLog("exception", detail=message))
 
-    def _tell(self, event: fl.Event) -> None:
+    def _notify_module(self, event: fl.Event) -> None:
         self._driver.tell(self._now, event)
 
     def _carry_out(self, action: fl.Action) -> None:
@@ -409,58 +440,58 @@
             case fl.Refuse(number, come_back_ms):
                 self._refuse(number, come_back_ms)
             case fl.Fail(number):
-                self._turned_away(number, "failed")
+                self._count_rejected(number, "failed")
                 self._claim(cl.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
-                self._out.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
+                self._actions.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
                 self._attempt(at.CallOff(number))
             case fl.Log(text):
-                self._out.append(ev.WriteLog("module", detail=text))
+                self._actions.append(ev.WriteLog("module", detail=text))
             case fl.WatchList() | fl.FetchList():
-                pass  # the long poll is always under way
+                pass  # a long poll of the list is always under way
             case fl.Probe():
-                self._out.append(ev.WriteLog("probe not offered"))
+                self._actions.append(ev.WriteLog("probe not offered"))
 
     def _set_up(self, action: fl.SetUp) -> None:
         session = self.sessions[action.session]
         session.node, session.attempt = action.node, session.attempts
         session.attempts += 1
         until = self._now + action.within_ms
-        place = session.parked_at
-        if place is not None and place.node != action.node:
-            # another box stands in that cell now: it does not have the set-up, and must not make a second one
+        parked_at = session.parked_at
+        if parked_at is not None and parked_at.node != action.node:
+            # another box has that cell now: it does not have the set-up, and must not run a second one
             never = fl.Outcome.NEVER_SENT
-            self._tell(fl.Ended(session.number, action.node, session.attempt, never, False, 0.0))
+            self._notify_module(fl.Ended(session.number, action.node, session.attempt, never, False, 0.0))
             return
-        self._link_wanted(action.node)
-        name = "" if place is None else place.set_up
+        self._require_link(action.node)
+        set_up = "" if parked_at is None else parked_at.set_up
         self._attempt(
-            at.Send(action.session, session.attempt, action.node, session.rung, session.paid, until, name)
+            at.Send(action.session, session.attempt, action.node, session.rung, session.paid, until, set_up)
         )
 
-    def _turned_away(self, number: int, what: str) -> None:
+    def _count_rejected(self, number: int, outcome: str) -> None:
         token = self.sessions[number].token
-        self._out.append(ev.WriteLedgerEntry(lg.TurnedAway(token.tenant, token.klass, what)))
+        self._actions.append(ev.WriteLedgerEntry(lg.TurnedAway(token.tenant, token.klass, outcome)))
 
     def _refuse(self, number: int, come_back_ms: float) -> None:
-        self._turned_away(number, "refused")
+        self._count_rejected(number, "refused")
         for answer in self.claims.handle(self._now / 1000, cl.Refused(number)):
             if isinstance(answer, cl.TellRefused):
-                self._out.append(ev.AnswerRefused(answer.request, number, come_back_ms))
+                self._actions.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
     def _forget(self, number: int) -> None:
-        """A session that ended without playing; one whose viewer left is dropped by `_over`."""
+        """Remove a session that ended without playing; `_close_session` removes one whose viewer left."""
         session = self.sessions.get(number)
         if session is not None and not session.withdrawn:
             del self.sessions[number]
 
-    def _over(self, session: ev.Session, ran: bool) -> None:
+    def _close_session(self, session: ev.Session, ran: bool) -> None:
         self.sessions.pop(session.number, None)
         session.closed = True
-        self._out.append(ev.SessionClosed(session))
+        self._actions.append(ev.SessionClosed(session))
         self._claim(cl.Over(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
@@ -469,7 +500,7 @@
         return self.settings.ladder_kb[rung] * self.settings.classes[session.klass].rate_scale
 
     def reservation(self, session: ev.Session, rung: int) -> ev.Reservation:
-        """What the rung takes and what the player may choose: one thing, whatever the source offers."""
+        """The rate that a rung reserves and the matching cap for the player, whatever the source offers."""
         rate, renditions = self.rate_kb(session, rung), session.title.source.renditions
         floor = self.rate_kb(session, self.settings.classes[session.klass].floor)
         return ev.Reservation(renditions.booked_kb(rate, floor), ceil(renditions.fit(rate, floor).cap_kbps))
@@ -481,23 +512,23 @@
                     session = self.sessions[number]
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
-                    self._out.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
+                    self._actions.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
                 case at.Put():
                     self._put(action)
                 case at.PutRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
                     reservation = self.reservation(self.sessions[number], rung)
-                    self._out.append(ev.ChangeRung(set_up, node, rung, reservation))
+                    self._actions.append(ev.ChangeRung(set_up, node, rung, reservation))
                 case at.TellStarted():
                     self._started(action)
                 case at.TellEnded():
                     self._ended(action)
                 case at.AbortPut() | at.Release():
-                    self._out.append(action)
+                    self._actions.append(action)
 
     def _put(self, put: at.Put) -> None:
         session = self.sessions[put.session]
-        self._out.append(
+        self._actions.append(
             ev.SendSetUp(
                 session=session,
                 attempt=put.attempt,
@@ -509,79 +540,83 @@
             )
         )
 
-    def _started(self, told: at.TellStarted) -> None:
-        session = self.sessions[told.session]
-        session.started_ms, session.owned_since_ms = self._now, told.when
+    def _started(self, event: at.TellStarted) -> None:
+        session = self.sessions[event.session]
+        session.started_ms, session.owned_since_ms = self._now, event.when
         if session.paid and session.parked_at is None:
-            self._out.append(ev.RecordIntentOutcome(session.token.id, IntentOutcome.STARTED))
-        set_up = self.attempts.set_up_id(told.session, told.attempt)
-        self._out.append(ev.WriteLedgerEntry(self._opened(session, told.when or int(self._now), set_up)))
-        self._tell(fl.Started(told.session, told.node, told.attempt, 0.0))
-        if told.load is not None:
+            self._actions.append(ev.RecordIntentOutcome(session.token.id, IntentOutcome.STARTED))
+        set_up = self.attempts.set_up_id(event.session, event.attempt)
+        self._actions.append(ev.WriteLedgerEntry(self._opened(session, event.when or int(self._now), set_up)))
+        self._notify_module(fl.Started(event.session, event.node, event.attempt, 0.0))
+        if event.load is not None:
             for kind, value in (
-                (fl.NoteKind.LINK, told.load.link),
-                (fl.NoteKind.LINK, told.load.link_up_to_one if told.load.link is None else None),
-                (fl.NoteKind.UPLINK, told.load.uplink),
+                (fl.NoteKind.LINK, event.load.link),
+                (fl.NoteKind.LINK, event.load.link_up_to_one if event.load.link is None else None),
+                (fl.NoteKind.UPLINK, event.load.uplink),
             ):
                 if value is not None:
-                    self._tell(fl.Note(told.session, told.node, kind, value))
-        self._claim(cl.Plays(told.session))
+                    self._notify_module(fl.Note(event.session, event.node, kind, value))
+        self._claim(cl.Plays(event.session))
 
-    def _opened(self, session: ev.Session, when: int, set_up: str) -> lg.Started:
+    def _opened(self, session: ev.Session, started_ms: int, set_up: str) -> lg.Started:
         token = session.token
         return lg.Started(
-            when,
+            started_ms,
             set_up,
             token.id,
             token.tenant,
             token.klass,
             session.rung,
             session.paid,
-            self._ends_ms(token),
+            self._expiry_ms(token),
             token.viewer,
             self._box_name(session.node),
         )
 
-    def _ended(self, told: at.TellEnded) -> None:
-        session = self.sessions[told.session]
-        ran = told.playing or not told.outcome.proves_unrun
-        set_up = told.set_up
-        kept = session.parked_at is None or told.playing
-        if session.paid and not told.parked and kept and not session.claim_lost:
-            outcome = (
+    def _ended(self, event: at.TellEnded) -> None:
+        session = self.sessions[event.session]
+        ran = event.playing or not event.outcome.proves_unrun
+        set_up = event.set_up
+        has_intent = session.parked_at is None or event.playing
+        if session.paid and not event.parked and has_intent and not session.claim_lost:
+            intent_outcome = (
                 IntentOutcome.ENDED
-                if told.playing
+                if event.playing
                 else IntentOutcome.MAY_HAVE_RUN
                 if ran
                 else IntentOutcome.NEVER_RAN
             )
-            self._out.append(ev.RecordIntentOutcome(session.token.id, outcome))
-        if told.playing:
-            ended = lg.Ended(told.when or int(self._now), set_up, estimated=not told.when)
-            self._out.append(ev.WriteLedgerEntry(ended))
+            self._actions.append(ev.RecordIntentOutcome(session.token.id, intent_outcome))
+        if event.playing:
+            ended = lg.Ended(event.when or int(self._now), set_up, estimated=not event.when)
+            self._actions.append(ev.WriteLedgerEntry(ended))
         elif session.paid and ran and session.parked_at is None:
-            # the box may have done it and been paid for it: charged once, and marked as estimated
+            # the box may have run it: it is charged once, and marked as estimated
             token = session.token
-            ends = self._ends_ms(token)
-            unseen = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, ends)
-            self._out.append(ev.WriteLedgerEntry(unseen))
-        final = told.playing or session.withdrawn
-        if told.playing or told.outcome is not fl.Outcome.OK:
-            detail = f"{told.outcome.value}{', was playing' if told.playing else ''}"
-            self._out.append(ev.WriteLog("attempt ended", told.session, self._box_name(told.node), detail))
-        if final and told.parked:
+            expiry_ms = self._expiry_ms(token)
+            estimated = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, expiry_ms)
+            self._actions.append(ev.WriteLedgerEntry(estimated))
+        final = event.playing or session.withdrawn
+        if event.playing or event.outcome is not fl.Outcome.OK:
+            detail = f"{event.outcome.value}{', was playing' if event.playing else ''}"
+            self._actions.append(
+                ev.WriteLog("attempt ended", event.session, self._box_name(event.node), detail)
+            )
+        if final and event.parked:
             self.sessions.pop(session.number, None)
             session.closed = True
-            self._out.append(ev.SessionClosed(session))
+            self._actions.append(ev.SessionClosed(session))
             until = self._now / 1000 + self.config.boxes.park_s
-            self._claim(cl.Parked(session.number, until, cl.Place(told.node, set_up, session.path_token)))
+            self._claim(cl.Parked(session.number, until, cl.Place(event.node, set_up, session.path_token)))
         elif final:
-            self._over(session, ran)
-        self._tell(fl.Ended(told.session, told.node, told.attempt, told.outcome, final, 0.0, told.load))
-        self._link_perhaps_unwanted(told.node)
+            self._close_session(session, ran)
+        self._notify_module(
+            fl.Ended(event.session, event.node, event.attempt, event.outcome, final, 0.0, event.load)
+        )
+        self._release_link(event.node)
 
-    def _ends_ms(self, token: SessionToken) -> int:
-        """When a token can start nothing any more, Unix ms."""
+    def _expiry_ms(self, token: SessionToken) -> int:
+        """When a token can no longer start a session, Unix ms."""
         return (token.expires + self.config.tokens.leeway_s) * 1000
 
     def _box_name(self, node: int) -> str:
@@ -589,14 +624,15 @@
         return "?" if box is None else box.name
 
     # ---- Links --------------------------------------------------------------------------------------------
-    def _link_wanted(self, node: int) -> None:
+    def _require_link(self, node: int) -> None:
         if node not in self.links:
             config = self.config.boxes
             self.links[node] = ln.Link(config.notice_retry_ms, config.lost_after_ms)
         self._link(node, ln.Wanted())
 
-    def _link_perhaps_unwanted(self, node: int) -> None:
-        """A stream without sessions is kept while its box is listed: the next session is not far."""
+    def _release_link(self, node: int) -> None:
+        """Close the stream of a box without sessions, but only if the box is no longer listed: the next
+        session may come soon."""
         if node not in self.boxes and node in self.links and not self.attempts.at(node):
             self._link(node, ln.Unwanted())
             del self.links[node]
@@ -609,25 +645,25 @@
         for action in link.handle(event):
             match action:
                 case ln.OpenStream():
-                    self._out.append(ev.OpenNoticeStream(node))
+                    self._actions.append(ev.OpenNoticeStream(node))
                 case ln.CloseStream():
-                    self._out.append(ev.CloseNoticeStream(node))
+                    self._actions.append(ev.CloseNoticeStream(node))
                 case ln.Retry(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.RetryDue(turn))))
+                    self._actions.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.RetryDue(turn))))
                 case ln.Await(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossDue(turn))))
-                case ln.AllLost() if self._plays_on(node):
+                    self._actions.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossDue(turn))))
+                case ln.AllLost() if self._is_in_grace(node):
                     pass
                 case ln.AllLost():
                     if self.attempts.at(node):
-                        self._out.append(ev.WriteLog("box silent", node=self._box_name(node)))
+                        self._actions.append(ev.WriteLog("box silent", node=self._box_name(node)))
                     self._attempt(at.BoxLost(node))
                 case ln.Compare():
-                    pass  # hello itself carries what is compared: see _notice
+                    pass  # `_notice` compares, with the content of hello
 
-    def _plays_on(self, node: int) -> bool:
-        """Whether a silent box is to be given its grace: its sessions outlive a stream, and so does what is
-        known of them here, as long as the list names it."""
+    def _is_in_grace(self, node: int) -> bool:
+        """Whether the sessions of a silent box still count as playing: the box keeps them for the grace
+        period without a stream, and so does this director while the box is listed."""
         since = self._silent.setdefault(node, self._now)
         return self.config.peers.on and node in self.boxes and self._now - since < self.config.peers.grace_ms
 
@@ -641,62 +677,62 @@
                 self._silent.pop(node, None)
                 kept = frozenset(sessions)
                 if self.config.peers.on:
-                    # what is not of this run was taken over: the answer that said so is late, or was lost
+                    # set-ups unknown here were taken over: the response with them is late, or was lost
                     foreign = {s for s in kept if not self.attempts.knows(s) and self.attempts.own(s) is None}
                     kept -= foreign
                     if foreign:
-                        self._out.append(ev.FetchTakenOver(node))
+                        self._actions.append(ev.FetchTakenOver(node))
                 self._attempt(at.BoxLost(node, boot, kept, counter))
             case OwnershipLost(sessions, _, when):
                 for set_up in sessions:
-                    self._taken(set_up, when)
+                    self._ownership_lost(set_up, when)
             case Delivered(set_up, share):
-                self._shares[node] = share, self._now
+                self._delivered_shares[node] = share, self._now
                 self._note(node, set_up, fl.NoteKind.DELIVERED, share)
             case LinkUse(set_up, link, uplink):
-                self._uses[node] = link
+                self._link_uses[node] = link
                 self._note(node, set_up, fl.NoteKind.LINK, link)
                 if uplink is not None:
                     self._note(node, set_up, fl.NoteKind.UPLINK, uplink)
             case RungInForce(set_up, rung, when):
-                self._out.append(ev.WriteLedgerEntry(lg.Rerung(when or int(self._now), set_up, rung)))
+                self._actions.append(ev.WriteLedgerEntry(lg.Rerung(when or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
             case SessionEnded(set_up, how, when):
                 found = self.attempts.own(set_up)
                 if found is not None:
-                    outcome = ENDED.get(how, fl.Outcome.RESET)
+                    outcome = OUTCOME_OF_END.get(how, fl.Outcome.RESET)
                     self._attempt(at.EndedAtBox(*found, outcome, when, how == "parked"))
 
     def _note(self, node: int, set_up: str, kind: fl.NoteKind, value: float) -> None:
         found = self.attempts.own(set_up)
         if found is not None and self.attempts.plays_at(found[0]) == (node, found[1]):
-            self._tell(fl.Note(found[0], node, kind, value))
+            self._notify_module(fl.Note(found[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
     def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
         for action in self.watch.handle(event):
             match action:
                 case TellList():
-                    self._listed(action)
+                    self._list_changed(action)
                 case CacheList(boxes):
-                    self._out.append(ev.SaveBoxList(boxes))
+                    self._actions.append(ev.SaveBoxList(boxes))
                 case PollLater(delay_ms):
-                    self._out.append(ev.StartTimer(delay_ms, PollDue()))
+                    self._actions.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
-                    self._out.append(action)
+                    self._actions.append(action)
 
-    def _listed(self, told: TellList) -> None:
-        if told.kind is fl.ListKind.FAILED:
-            self._out.append(ev.WriteLog("box list not heard"))
-            self._tell(fl.NodeList(fl.ListKind.FAILED))
+    def _list_changed(self, update: TellList) -> None:
+        if update.kind is fl.ListKind.FAILED:
+            self._actions.append(ev.WriteLog("box list not heard"))
+            self._notify_module(fl.NodeList(fl.ListKind.FAILED))
             return
-        infos = [info for info in map(self._info, told.boxes) if info is not None]
+        infos = [info for info in map(self._node_info, update.boxes) if info is not None]
         closed: list[tuple[int, bool]] = []
-        if told.kind is not fl.ListKind.DELTA:
+        if update.kind is not fl.ListKind.DELTA:
             named = {info.node for info in infos}
             closed += [(node, True) for node in self.boxes if node not in named]
             self.boxes = {node: box for node, box in self.boxes.items() if node in named}
-        by_number = {box.number: box for box in told.boxes}
+        by_number = {box.number: box for box in update.boxes}
         for info in infos:
             if info.status is fl.Status.GONE:
                 self.boxes.pop(info.node, None)
@@ -707,17 +743,17 @@
                 closed.append((info.node, False))
             else:
                 self._attempt(at.Serves(info.node))
-        # the module first: what is stopped below may be placed anew at once, and not at a box that drains
-        self._tell(fl.NodeList(told.kind, tuple(infos)))
+        # the module first: it may place the sessions stopped below anew at once, but not at a box that drains
+        self._notify_module(fl.NodeList(update.kind, tuple(infos)))
         for node, gone in closed:
             self._attempt(at.Drains(node, gone))
-            self._link_perhaps_unwanted(node)
+            self._release_link(node)
         if self.config.peers.on:
-            self._out.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
+            self._actions.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
 
-    def _info(self, box: BoxEntry) -> fl.NodeInfo | None:
+    def _node_info(self, box: BoxEntry) -> fl.NodeInfo | None:
         if box.zone not in self._zones or box.kind not in self._kinds or box.cell >= self.settings.cells:
-            self._out.append(
+            self._actions.append(
                 ev.WriteLog("box not usable", node=box.name, detail="unknown zone, kind or cell")
             )
             return None
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -1,4 +1,4 @@
-"""What the director's core takes in and gives out, beside the events and actions of `foxlift.decide`."""
+"""Events and actions of the director's core, in addition to those of `foxlift.decide`."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 from foxlift.tokens import SessionToken
 
 
-# ---- In ---------------------------------------------------------------------------------------------------
+# ---- Events
+# ---------------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class ManifestRequested:
-    """A request for a title's manifest, with a token that verified. `waited_ms`: since its first byte."""
+    """A request for a title's manifest with a verified token. `waited_ms`: since its first byte."""
 
     request: int
     token: SessionToken
@@ -29,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The request's client left before its answer."""
+    """The client of a request disconnected before its response."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class NoticeReceived:
-    """A box told something of its own accord."""
+    """A notice of a box has arrived."""
 
     node: int
     notice: BoxNotice
@@ -44,21 +45,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticeStreamClosed:
-    """The notice stream of a box ended or could not be opened."""
+    """The notice stream of a box has ended or could not be opened."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class ParkedSessionMissing:
-    """The box does not have the set-up that was to be taken up again."""
+    """The box no longer has the parked set-up that was to be resumed."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTimerDue:
-    """A wait that a link asked for is over."""
+    """A timer of a link is due."""
 
     node: int
     event: links.RetryDue | links.LossDue
@@ -73,14 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRecovered:
-    """A paid set-up from the record, at the start."""
+    """A paid set-up that was read from the intent log at start."""
 
     intent: RecoveredIntent
 
 
 @dataclass(frozen=True, slots=True)
 class TokenClaimFailed:
-    """The token of a paid set-up that was about to leave is another's; or nobody could be asked in time."""
+    """A paid set-up may not be sent: another director has its token, or no quorum answered in time.
+
+    `claim`: the other claim, if it is known. `quorum_reached`: whether a quorum answered.
+    """
 
     session: int
     attempt: int
@@ -90,9 +94,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenOverSession:
-    """A session at a box that this director owns from now on. `at`: since when, Unix ms of the box.
+    """A session that this director has taken over. `owned_since_ms`: Unix ms by the box's clock.
 
-    `until`: 0, or until when it is parked there (Unix seconds).
+    `parked_until_s`: until when it is parked at its box (Unix s); 0: it plays.
     """
 
     token: SessionToken
@@ -106,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionsTakenOver:
-    """A box has handed these over. `counter`, `boot`: of its answer."""
+    """A box has handed sessions over. `boot`, `counter`: from its response."""
 
     node: int
     boot: str
@@ -116,21 +120,21 @@
 
 @dataclass(frozen=True, slots=True)
 class BootEpochRenewed:
-    """This director is in another run from now on."""
+    """This director has a new boot epoch."""
 
     boot_epoch: str
 
 
 @dataclass(frozen=True, slots=True)
 class ZonePlanChanged:
-    """Where this director's viewers go by the plan in common, a share for each zone; empty: there is none."""
+    """The shared plan for this director's viewers has changed: a share for each zone; empty: no plan."""
 
     shares: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipRefused:
-    """A box refused a command: it was taken over by another director."""
+    """A box refused a command because another director has taken the session over."""
 
     set_up: str
 
@@ -161,10 +165,11 @@
 )
 
 
-# ---- Out --------------------------------------------------------------------------------------------------
+# ---- Actions
+# --------------------------------------------------------------------------------------------------
 @dataclass(slots=True)
 class Session:
-    """What the director keeps of a session while it is asked for or plays."""
+    """A session that is requested or plays."""
 
     number: int
     token: SessionToken
@@ -172,25 +177,25 @@
     klass: int
     paid: bool
     path_token: str
-    parked_at: claims.Place | None = None  # where it was parked, if it is to be taken up again
-    top: int = 0  # the highest rung that it may ever have
+    parked_at: claims.Place | None = None  # if the session resumes a parked one
+    top: int = 0  # the highest rung that it may get
     rung: int = 0
     node: int = 0
     attempt: int = 0
     attempts: int = 0
     withdrawn: bool = False
     started_ms: float = 0.0  # on the module's clock
-    owned_since_ms: int = 0  # since when it is this director's, Unix ms of its box
-    # as last shown: rung, whose token in its URLs; headers and body
+    owned_since_ms: int = 0  # since when this director owns it, Unix ms by its box's clock
+    # the last manifest served: its rung and the token in its URLs; headers; body
     manifest: tuple[tuple[int, str], Headers, bytes] | None = None
     closed: bool = False
-    boot: str = ""  # of the box, as it was known when the token was claimed
-    claim_lost: bool = False  # its token is another's: nothing of it is to be written down
+    boot: str = ""  # boot id of the box, as known when the token was claimed
+    claim_lost: bool = False  # another director has its token: no outcome is recorded here
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerManifest:
-    """Answer 200 with the session's manifest."""
+    """Respond 200 with the session's manifest."""
 
     request: int
     session: Session
@@ -198,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRefused:
-    """Answer 503; come back after so many milliseconds, where that is allowed."""
+    """Respond 503. `come_back_ms`: when the viewer may come back; 0: not stated."""
 
     request: int
     session: int
@@ -207,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerFailed:
-    """Answer 504 or 502: the session may have been set up."""
+    """Respond 504: the session may have been set up."""
 
     request: int
     session: int
@@ -215,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRejected:
-    """Answer at once, without a session."""
+    """Respond with a problem, without a session."""
 
     request: int
     reason: claims.Why
@@ -223,7 +228,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Its token is claimed elsewhere: find out where this request goes. None: by the record of this run."""
+    """Its token is claimed by another director: find it and forward the request there.
+
+    `claim`: the other claim; None: it has to be looked up.
+    """
 
     request: int
     claim: Claim | None
@@ -231,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FindSession:
-    """Its token is in the record of an earlier run: its box may still play it."""
+    """Its token is in the intent log of an earlier process: look for a box that may still play it."""
 
     request: int
     token: str
@@ -239,28 +247,28 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateListedBoxes:
-    """The boxes that the list names, by name."""
+    """The names of all boxes in the box list."""
 
     boxes: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class DropOwnership:
-    """Another director owns this set-up from now on."""
+    """Another director owns this set-up now."""
 
     set_up: str
 
 
 @dataclass(frozen=True, slots=True)
 class FetchTakenOver:
-    """A box names sessions of this director that it does not know: ask the box for them."""
+    """A box names sessions of this director that are unknown here: ask the box for them."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class PersistIntent:
-    """Make the intent of a paid set-up durable, then report IntentDurable or IntentFailed."""
+    """Make the intent of a paid set-up durable; report IntentDurable or IntentFailed."""
 
     session: int
     attempt: int
@@ -272,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordIntentOutcome:
-    """Record what became of it."""
+    """Record the outcome of the token's intent."""
 
     token: str
     outcome: IntentOutcome
@@ -280,7 +288,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """What a rung of a session takes of its box (kB/s), and the cap for its player (kbit/s)."""
+    """The rate that a rung of a session reserves at its box, and the cap for its player."""
 
     rate_kb: float
     max_kbps: int
@@ -305,7 +313,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRung:
-    """Tell a box the rung of a playing session."""
+    """Send the new rung of a playing session to its box."""
 
     set_up: str
     node: int
@@ -322,14 +330,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseNoticeStream:
-    """Close it."""
+    """Close the notice stream of a box."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Hand the event back after so many milliseconds."""
+    """Handle `event` after `delay_ms`."""
 
     delay_ms: float
     event: Event
@@ -337,28 +345,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveBoxList:
-    """Keep the box list for a restart."""
+    """Store the box list for a restart."""
 
     boxes: BoxList
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLedgerEntry:
-    """Write down in the ledger."""
+    """Write an event to the ledger."""
 
     event: Started | Rerung | Ended | TurnedAway | Ran
 
 
 @dataclass(frozen=True, slots=True)
 class SessionClosed:
-    """Nothing of the session is left."""
+    """The session has ended and is removed."""
 
     session: Session
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the operators' log."""
+    """Write a line to the log."""
 
     event: str
     session: int | None = None
--- a/foxlift/director/ownership.py
+++ b/foxlift/director/ownership.py
@@ -1,4 +1,4 @@
-"""What a director's commands to media servers carry where directors take over each other's sessions."""
+"""Ownership of sessions, for commands to media servers where directors take over each other's sessions."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 
 
 class Ownership(Protocol):
-    """Who owns the sessions that are commanded. Servers are named by their number."""
+    """Ownership of the sessions that a director commands. Servers are given by number."""
 
     @property
     def boot_epoch(self) -> int:
-        """The epoch that sessions are set up in, 0 for none."""
+        """The boot epoch in which sessions are set up, 0 for none."""
 
     @property
     def grace_ms(self) -> float:
-        """How long a session outlives its owner's stream; 0: as long as any."""
+        """How long a server keeps a session without its owner's notice stream; 0: no limit of its own."""
 
     def headers(self) -> Headers:
-        """Name the sender of a command."""
+        """The headers that name the sender of a command."""
 
     def note(self, session: events.Session) -> str:
-        """What a server keeps for whoever takes this session over."""
+        """The note that the server stores for the director that takes this session over."""
 
     def is_refused(self, result: Response | Failure, set_up: str = "", node: int | None = None) -> bool:
-        """Whether a server said that another director owns what was commanded; follows what it says."""
+        """Whether a server refused a command because another director owns the session; acts on the
+        refusal."""
 
     def may_stream(self, node: int) -> bool:
-        """Whether a server's notices name all of this director's sessions by now."""
+        """Whether a notice stream of the server would name all of this director's sessions."""
 
     def stream_query(self) -> str:
-        """What is added to the query of a notice stream."""
+        """Additional query parameters of a notice stream."""
 
     def notice_heard(self, node: int, notice: BoxNotice) -> None:
-        """A notice has come, and the core has handled it."""
+        """Handle a notice that the core has already handled."""
 
 
 class SoleOwner:
-    """The ownership of a director without peers: nobody else commands its sessions."""
+    """The ownership of a director without peers: it alone commands its sessions."""
 
     boot_epoch = 0
     grace_ms = 0.0
