--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -72,7 +72,7 @@
         asked_at: dict[int, float] = {}
         spent: dict[int, float] = {}
         answered_at: dict[int, float] = {}
-        put, show, asked, feed = daemon._put, daemon.answers.show, daemon.asked, daemon.feed
+        put, show, asked, feed = daemon._put, daemon.answers.show, daemon.handle_request, daemon.feed
 
         def on_asked(exchange: Exchange) -> None:
             asked_at[daemon._last_request + 1] = exchange.request.arrived_s
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their answer, and the answers: manifests, ways back, refusals, reloads by bytes."""
+"""Pending requests and their responses: manifests, redirects to boxes, refusals and cached reloads."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from foxlift.http.messages import encode_head
 from foxlift.manifest import SessionView
 
-MAX_CACHED_RELOADS = 4  # forms of the same reload kept for one session
+MAX_CACHED_RELOADS = 4  # distinct request texts for one session
 MPD: Headers = (("content-type", "application/dash+xml"), ("cache-control", "no-store"))
 
-# status, title, seconds to come back after
-_DOWN: dict[Why, tuple[int, str, int | None]] = {
+# status, title, Retry-After in seconds
+_REJECTIONS: dict[Why, tuple[int, str, int | None]] = {
     Why.EXPIRED: (403, "the token has expired", None),
     Why.FAILED: (502, "the session may have been set up already; this token starts no other", None),
     Why.PLAYED: (410, "the session of this token is over", None),
@@ -31,30 +31,30 @@
 }
 
 
-def _come_back(come_back_ms: float) -> Headers:
-    """Whole seconds for any client (RFC 9110 section 10.2.3); the exact time for those that read it."""
+def _come_back_headers(come_back_ms: float) -> Headers:
+    """Retry-After in whole seconds (RFC 9110 section 10.2.3), and the exact time for clients that read it."""
     seconds = max(round(come_back_ms / 1000 + 0.499), 1)
     return (("retry-after", str(seconds)), ("foxlift-come-back-ms", f"{come_back_ms:g}"))
 
 
 def cmsd(max_kbps: int) -> Headers:
-    """The rung's cap for the player: CTA-5006 section 3.2, `mb` in kbit/s."""
+    """The header with the rung's cap for the player: CTA-5006 section 3.2, `mb` in kbit/s."""
     return (("cmsd-dynamic", f'"foxlift";mb={max_kbps}'),)
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is not answered yet."""
+    """A request without a response so far."""
 
     exchange: Exchange
     wanted: ManifestRequest
     expired: bool = False
-    passed: bool = False  # by another director
-    routed: int = 0  # how often it was looked for elsewhere
+    passed: bool = False  # forwarded by another director
+    routed: int = 0  # how often another director or box was searched for it
 
 
 class Answers:
-    """Every request of one director that is not answered yet; answers each of them once."""
+    """The pending requests of one director; responds to each of them once."""
 
     def __init__(
         self,
@@ -64,7 +64,8 @@
         rate_kb: Callable[[ev.Session, int], float],
         reservation: Callable[[ev.Session, int], ev.Reservation],
     ) -> None:
-        self.hint: Callable[[ev.Session], str] = lambda session: ""  # who has it, for its Location
+        # names the session's owner, for its Location
+        self.hint: Callable[[ev.Session], str] = lambda session: ""
         self._config, self._address, self._set_up_id = config, address, set_up_id
         self._rate_kb, self._reservation = rate_kb, reservation
         self.url = ""
@@ -77,11 +78,11 @@
     def add_pending(
         self, number: int, exchange: Exchange, wanted: ManifestRequest, expired: bool, passed: bool
     ) -> None:
-        """Keep a request until it is answered or gone."""
+        """Keep a request until its response or its client's disconnect."""
         self.pending[number] = PendingRequest(exchange, wanted, expired, passed)
 
-    def gone(self, number: int) -> bool:
-        """The client has left; whether an answer was still owed."""
+    def remove(self, number: int) -> bool:
+        """Remove the request of a client that has disconnected; whether it was still pending."""
         return self.pending.pop(number, None) is not None
 
     def _take(self, request: int) -> PendingRequest | None:
@@ -92,12 +93,15 @@
 
     # ---- Manifests ----------------------------------------------------------------------------------------
     def show(self, request: int, session: ev.Session) -> str:
-        """Answer with the session's manifest, or send the player to its box; tells which."""
+        """Respond with the session's manifest, or redirect a segment request to its box.
+
+        Returns the name of the counter for it: "manifests", "sent back" or "gone".
+        """
         pending = self._take(request)
         if pending is None:
             return "gone"
         if pending.wanted.rest is not None:
-            self._send_there(pending.exchange, session, pending.wanted.rest)
+            self._redirect(pending.exchange, session, pending.wanted.rest)
             return "sent back"
         headers, body = self.manifest(session, pending.wanted.url_token)
         if not pending.passed:
@@ -105,10 +109,10 @@
         pending.exchange.reply(200, headers, body)
         return "manifests"
 
-    def _send_there(self, exchange: Exchange, session: ev.Session, rest: str) -> None:
-        where = (("location", self._base(session) + rest), ("cache-control", "no-store"))
-        # 307: the method stays (RFC 9110 section 15.4.8); each segment may lead elsewhere
-        exchange.reply(307, where)
+    def _redirect(self, exchange: Exchange, session: ev.Session, rest: str) -> None:
+        headers = (("location", self._base(session) + rest), ("cache-control", "no-store"))
+        # 307 keeps the method (RFC 9110 section 15.4.8); not cached, as the next segment may need another box
+        exchange.reply(307, headers)
 
     def _base(self, session: ev.Session) -> str:
         host, port = self._address(session.node)
@@ -116,7 +120,7 @@
         return f"http://{host}:{port}{path}/{quote(session.title.name)}/"
 
     def manifest(self, session: ev.Session, url_token: str) -> tuple[Headers, bytes]:
-        """The manifest as last shown, unless its rung has changed since."""
+        """The last manifest served, or a new one if the rung or the token in the URL has changed."""
         key = (session.rung, url_token)
         if session.manifest is not None and session.manifest[0] == key:
             return session.manifest[1:]
@@ -138,76 +142,76 @@
         return self._config.fleet.classes[session.klass].floor
 
     def peek(self, exchange: Exchange, wanted: ManifestRequest, session: ev.Session | None) -> None:
-        """Answer a HEAD: what GET would say of a session that plays, and no length where none does yet."""
+        """Respond to HEAD as to GET for a playing session; without one, status 200 and no length."""
         if session is None:
             exchange.start_stream(200, MPD).finish()
         elif wanted.rest is not None:
-            self._send_there(exchange, session, wanted.rest)
+            self._redirect(exchange, session, wanted.rest)
         else:
             exchange.reply(200, *self.manifest(session, wanted.url_token))
 
     # ---- Reloads ------------------------------------------------------------------------------------------
     def _cache_reload(self, data: bytes, session: ev.Session, exchange: Exchange) -> None:
-        """A player's reloads are the same bytes each time: keep the answer by them while it plays."""
-        known = self._cached_keys.setdefault(session.number, [])
-        if session.closed or session.manifest is None or len(known) >= MAX_CACHED_RELOADS:
+        """A player's reloads repeat the same bytes: cache the response under them while the session plays."""
+        keys = self._cached_keys.setdefault(session.number, [])
+        if session.closed or session.manifest is None or len(keys) >= MAX_CACHED_RELOADS:
             return
-        known.append(data)
+        keys.append(data)
         _, headers, body = session.manifest
         head = encode_head(200, headers + exchange.common_headers, len(body), close=False)
         self._cached[data] = (session, session.manifest, head + body)
 
     def cached_response(self, data: bytes) -> bytes | None:
-        """The whole answer to a request of these bytes, where it is known and still holds."""
+        """The encoded response to a request of exactly these bytes, if it is cached and still valid."""
         found = self._cached.get(data)
         if found is None:
             return None
-        session, shown, answer = found
+        session, manifest, response = found
         current = session.manifest
-        if session.closed or current is None or current is not shown or current[0][0] != session.rung:
+        if session.closed or current is None or current is not manifest or current[0][0] != session.rung:
             del self._cached[data]
             self._cached_keys[session.number].remove(data)
             return None
         self.cached_reloads += 1
-        return answer
+        return response
 
     def session_over(self, session: ev.Session) -> None:
-        """Nothing of the session is shown any more."""
+        """Drop the cached responses of a session that has ended."""
         for data in self._cached_keys.pop(session.number, ()):
             self._cached.pop(data, None)
 
-    # ---- The rest -----------------------------------------------------------------------------------------
-    def refused(self, request: int, session: int, come_back_ms: float) -> None:
-        """Answer 503, with the time to come back after where that is allowed."""
+    # ---- Other responses ----------------------------------------------------------------------------------
+    def refuse(self, request: int, session: int, come_back_ms: float) -> None:
+        """Respond 503; `come_back_ms` above 0: with the time after which the viewer may come back."""
         pending = self._take(request)
         if pending is None:
             return
-        extra = _come_back(come_back_ms) if come_back_ms > 0 else ()
+        extra = _come_back_headers(come_back_ms) if come_back_ms > 0 else ()
         pending.exchange.reply_problem(503, "refused: no room for this session now", extra=extra)
         self._log.info("refused", session=session)
 
-    def failed(self, request: int, session: int) -> None:
-        """Answer 504: it may have been set up."""
-        self._tell(request, 504, "the session could not be set up in time", session=session)
+    def fail(self, request: int, session: int) -> None:
+        """Respond 504: the session may have been set up."""
+        self._respond(request, 504, "the session could not be set up in time", session=session)
 
-    def down(self, request: int, why: Why, come_back_ms: float = 0.0) -> None:
-        """Answer without a session."""
-        status, title, seconds = _DOWN[why]
+    def reject(self, request: int, reason: Why, come_back_ms: float = 0.0) -> None:
+        """Respond with a problem, without a session."""
+        status, title, seconds = _REJECTIONS[reason]
         if come_back_ms > 0:
             pending = self._take(request)
             if pending is not None:
-                pending.exchange.reply_problem(status, title, extra=_come_back(come_back_ms))
+                pending.exchange.reply_problem(status, title, extra=_come_back_headers(come_back_ms))
             return
-        self._tell(request, status, title, seconds)
+        self._respond(request, status, title, seconds)
 
     def relay(self, request: int, status: int, headers: Headers, body: bytes) -> None:
-        """Give a viewer the answer of the director that has its session."""
+        """Send a viewer the response of the director that has its session."""
         pending = self._take(request)
         if pending is not None:
             pending.exchange.reply(status, headers, body)
             self._log.info("passed on", status=status)
 
-    def _tell(
+    def _respond(
         self, request: int, status: int, title: str, seconds: int | None = None, session: int | None = None
     ) -> None:
         pending = self._take(request)
--- a/foxlift/director/authorizer.py
+++ b/foxlift/director/authorizer.py
@@ -1,11 +1,11 @@
-"""Authorisation of requests: what one asks for, with which token; or why it is rejected. No I/O.
+"""Authorisation of requests: what a request asks for and with which token, or why it is rejected. No I/O.
 
     /dash/{title}/manifest.mpd?token=...     the session's manifest; the token may come as Bearer instead
-    ...&at={owner/run/box/set-up}            among directors that take over each other's work: who had the
-                                             session when the manifest was written; a hint and no more
-    /dash/{title}/back/{token or -}/{rest}   the way back: a segment whose box did not answer. The session's
-                                             box is found again, or the session set up anew, and the player
-                                             sent there; `-` where the token is in the header
+    ...&at={owner/run/box/set-up}            where directors take over each other's sessions: who owned the
+                                             session when the manifest was written; only a hint
+    /dash/{title}/back/{token or -}/{rest}   a segment whose box did not respond. The player is redirected to
+                                             the session's present box, after a new set-up if it has none;
+                                             `-` if the token is in the header
 
 GET and HEAD; HEAD sets nothing up.
 """
@@ -21,13 +21,13 @@
 from foxlift.http import Headers, Request
 from foxlift.tokens import SessionToken, TokenError, Trouble, Verifier
 
-MAX_VERIFIED = 10_000  # verified targets kept: what comes again soon costs no second check of its signature
-MAX_SEGMENT_PATH_CHARS = 2000  # characters of a segment's path
+MAX_VERIFIED = 10_000  # cached verified tokens: a repeated one needs no second check of its signature
+MAX_SEGMENT_PATH_CHARS = 2000
 MAX_HINT_CHARS = 500
 
 
 class HttpProblem(Exception):
-    """A request that is rejected, and the status and problem details of its answer."""
+    """A rejected request: the status and problem details of its response."""
 
     def __init__(self, status: int, title: str, detail: str = "", extra: Headers = ()) -> None:
         super().__init__(title)
@@ -38,8 +38,9 @@
 class ManifestRequest:
     """What a request asks for.
 
-    `url_token`: the token where it came in the URL, to be put into URLs again; one from a header never enters
-    a URL. `rest`: None for a manifest, else the segment's path below the title. `hint`: who had the session.
+    `url_token`: the token if it came in the URL, to be put into further URLs; a token from a header never
+    goes into a URL. `rest`: None for a manifest, else the segment's path below the title. `hint`: the
+    session's owner by the URL, may be outdated.
     """
 
     token: SessionToken
@@ -64,7 +65,7 @@
         self._verified: OrderedDict[str, tuple[SessionToken, Title]] = OrderedDict()
 
     def authorize(self, request: Request) -> ManifestRequest:
-        """What the request asks for, its token verified. Raises HttpProblem."""
+        """Verify the token and return what the request asks for. Raises HttpProblem."""
         parts = request.path.split("/", 5)
         rest: str | None = None
         text = ""
@@ -135,7 +136,7 @@
 
 
 def _hint(query: str) -> str:
-    """One that makes no sense is no hint: whoever comes with it is served as anybody."""
+    """The hint of a query; empty if it is invalid, and the request is then served without one."""
     try:
         found = parse_qs(query, max_num_fields=50).get("at", [])
     except ValueError:
@@ -144,7 +145,7 @@
 
 
 def _rest(path: str, query: str) -> str:
-    """A segment's path as it goes into a Location: nothing that leads up, nothing that ends a header."""
+    """A segment's path that is safe in a Location header: no `..` parts, printable ASCII only."""
     whole = path + (f"?{query}" if query else "")
     if len(whole) > MAX_SEGMENT_PATH_CHARS or not whole.isascii() or not whole.isprintable() or " " in whole:
         raise HttpProblem(400, "the segment's path cannot be read")
@@ -154,11 +155,11 @@
 
 
 def manifest_url(url: str, title: str, token: str, hint: str = "") -> str:
-    """Where a session's manifest is loaded again."""
+    """The URL from which a player reloads a session's manifest."""
     fields = ([f"token={quote(token)}"] if token else []) + ([f"at={quote(hint, safe='/')}"] if hint else [])
     return f"{url}/dash/{quote(title)}/manifest.mpd" + ("?" + "&".join(fields) if fields else "")
 
 
 def back_url(url: str, title: str, token: str) -> str:
-    """The way back of a session, to be followed by a segment's path."""
+    """The URL for segments whose box did not respond; the segment's path is appended to it."""
     return f"{url}/dash/{quote(title)}/back/{quote(token, safe='') or '-'}/"
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -114,7 +114,7 @@
     def ask_core(self, number: int) -> None:
         """Have the core answer a request that is held."""
 
-    def asked(self, exchange: Exchange, passed: bool = False) -> None:
+    def handle_request(self, exchange: Exchange, passed: bool = False) -> None:
         """Take in a request; `passed`: from another director."""
 
     def superseded(self) -> None:
@@ -153,7 +153,7 @@
     def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
         """See `Host`."""
         self.daemon.counters.add("turned down", why.value)
-        self.daemon.answers.down(request, why, come_back_ms)
+        self.daemon.answers.reject(request, why, come_back_ms)
 
     def relay(self, request: int, answer: Response) -> None:
         """See `Host`."""
@@ -162,7 +162,7 @@
 
     def receive_forwarded(self, exchange: Exchange) -> None:
         """See `Host`."""
-        self.daemon.asked(exchange, passed=True)
+        self.daemon.handle_request(exchange, passed=True)
 
     def forwardable(self, request: int) -> ForwardableRequest | None:
         """See `Host`."""
--- a/foxlift/director/commands.py
+++ b/foxlift/director/commands.py
@@ -1,4 +1,4 @@
-"""Commands to media servers (set up, resume, change the rung, release), and what comes of each."""
+"""Commands to media servers (set up, resume, change the rung, release) and their results."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from foxlift.http import Call, Failure, FailureKind, Headers, Response
 from foxlift.telemetry import Counters
 
-COMMAND_TIMEOUT_MS = 2000.0  # of those that no viewer waits for
+COMMAND_TIMEOUT_MS = 2000.0  # for commands that no viewer waits for
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
 
-_LOSSES = {
+_LOSS_OF_FAILURE = {
     FailureKind.CONNECT: attempts.Loss.CONNECT,
     FailureKind.RESET: attempts.Loss.RESET,
     FailureKind.TIMEOUT: attempts.Loss.TIMEOUT,
@@ -36,7 +36,7 @@
 
 
 class ServerCommands:
-    """One director's commands that are on their way."""
+    """Sends one director's commands and reports their results."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
     ) -> None:
         self._config, self._timeline, self._counters = config, timeline, counters
         self._pools, self._ownership, self._feed = pools, ownership, feed
-        self.set_ups: dict[AttemptKey, Call] = {}  # without an answer yet
+        self.set_ups: dict[AttemptKey, Call] = {}  # without a response so far
 
     def send(self, command: Command) -> None:
-        """Carry out what the core says."""
+        """Send a command of the core."""
         match command:
             case events.SendSetUp() if command.session.parked_at is None:
                 self._set_up(command)
@@ -68,7 +68,7 @@
     def _set_up(self, put: events.SendSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Response | Failure) -> None:
+        def finished(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
             self._ownership.is_refused(result, node=put.node)
             self._feed(_outcome_of(key, result))
@@ -77,13 +77,13 @@
         self.set_ups[key] = self._pools.pool(put.node).call(
             "PUT",
             f"/sessions/{put.set_up}",
-            answered,
+            finished,
             headers=JSON_HEADERS,
-            body=msgspec.json.encode(self._order(put)),
+            body=msgspec.json.encode(self._set_up_request(put)),
             timeout_ms=put.timeout_ms,
         )
 
-    def _order(self, put: events.SendSetUp) -> SetUpRequest:
+    def _set_up_request(self, put: events.SendSetUp) -> SetUpRequest:
         session, token = put.session, put.session.token
         return SetUpRequest(
             director=self._config.name,
@@ -106,38 +106,38 @@
     def _resume(self, put: events.SendSetUp) -> None:
         key = (put.session.number, put.attempt)
 
-        def answered(result: Response | Failure) -> None:
+        def finished(result: Response | Failure) -> None:
             self.set_ups.pop(key, None)
-            lost = self._ownership.is_refused(result, put.set_up)
-            if isinstance(result, Response) and (lost or result.status in (404, 410)):
+            not_owner = self._ownership.is_refused(result, put.set_up)
+            if isinstance(result, Response) and (not_owner or result.status in (404, 410)):
                 self._feed(events.ParkedSessionMissing(put.session.number))
-                # nothing runs: the server says so
+                # the server states that nothing runs
                 self._feed(attempts.Answered(*key, False, fl.Outcome.FULL))
                 return
             self._feed(_outcome_of(key, result))
 
         self._counters.add("taken up again")
-        self.set_ups[key] = self._put_rung(put, "resume", put.timeout_ms, answered)
+        self.set_ups[key] = self._put_rung(put, "resume", put.timeout_ms, finished)
 
     def _change_rung(self, change: events.ChangeRung) -> None:
-        def answered(result: Response | Failure) -> None:
-            # the server's next rung notice tells what is in force
+        def finished(result: Response | Failure) -> None:
+            # the server's next rung notice reports the rung in force
             self._ownership.is_refused(result, change.set_up)
 
-        self._put_rung(change, "rung", COMMAND_TIMEOUT_MS, answered)
+        self._put_rung(change, "rung", COMMAND_TIMEOUT_MS, finished)
 
     def _put_rung(
         self,
         command: events.SendSetUp | events.ChangeRung,
         resource: str,
         timeout_ms: float,
-        answered: Callable[[Response | Failure], None],
+        finished: Callable[[Response | Failure], None],
     ) -> Call:
         reservation = command.reservation
         return self._pools.pool(command.node).call(
             "PUT",
             f"/sessions/{command.set_up}/{resource}",
-            answered,
+            finished,
             headers=(*JSON_HEADERS, *self._ownership.headers()),
             body=msgspec.json.encode(RungRequest(command.rung, reservation.rate_kb, reservation.max_kbps)),
             timeout_ms=timeout_ms,
@@ -149,9 +149,9 @@
             call.cancel()
 
     def _release(self, release: attempts.Release) -> None:
-        def answered(result: Response | Failure) -> None:
-            others = self._ownership.is_refused(result)
-            if others or (isinstance(result, Response) and result.status in (200, 204, 404)):
+        def finished(result: Response | Failure) -> None:
+            not_owner = self._ownership.is_refused(result)
+            if not_owner or (isinstance(result, Response) and result.status in (200, 204, 404)):
                 self._feed(attempts.Released(release.set_up))
             else:
                 self._feed(attempts.ReleaseFailed(release.set_up))
@@ -160,7 +160,7 @@
             self._pools.pool(release.node).call(
                 "DELETE",
                 f"/sessions/{release.set_up}",
-                answered,
+                finished,
                 headers=self._ownership.headers(),
                 timeout_ms=COMMAND_TIMEOUT_MS,
             )
@@ -172,15 +172,15 @@
 
 
 def _outcome_of(key: AttemptKey, result: Response | Failure) -> attempts.Answered | attempts.Lost:
-    """What the end of a set-up's call says of the attempt."""
+    """The result of an attempt from the result of its call."""
     if isinstance(result, Failure):
-        return attempts.Lost(*key, _LOSSES[result.kind], result.sent)
+        return attempts.Lost(*key, _LOSS_OF_FAILURE[result.kind], result.sent)
     load = read_load(result.header(LOAD_HEADER))
     if result.status not in (200, 201):
         outcome = box_outcome(result.status, result.header("foxlift-refusal"))
         return attempts.Answered(*key, False, outcome, load=load)
-    done = read_set_up(result.body)
-    if done is None:
-        # it says done, but not how it may be known: not to be trusted with a viewer
+    response = read_set_up(result.body)
+    if response is None:
+        # reported as done, but without a readable boot id and counter: treated as lost
         return attempts.Lost(*key, attempts.Loss.GARBAGE, True)
-    return attempts.Answered(*key, True, fl.Outcome.OK, done.counter, done.boot, load, done.at)
+    return attempts.Answered(*key, True, fl.Outcome.OK, response.counter, response.boot, load, response.at)
--- a/foxlift/director/configuration.py
+++ b/foxlift/director/configuration.py
@@ -1,7 +1,7 @@
-"""A director's configuration from the log of changes: watches a relay, puts titles in force, acknowledges.
+"""A director's configuration from the log of changes: watches a relay, applies titles, acknowledges versions.
 
-Made only where the settings name relays. What is decided is decided by `foxlift.rollout.agent`; here are its
-sockets, its disk and the catalogue. Without a relay the director serves what it has.
+Used only if the settings name relays. `foxlift.rollout.agent` makes the decisions; this module connects it to
+the network, the disk and the catalogue. While no relay responds, the director keeps the configuration it has.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ConfigurationFeed:
-    """One director's. It has in force what its disk kept once it is made, and more once it is started."""
+    """One director's configuration: applies the stored one when created, and new versions after `start`."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._titles = TitleChanges(catalogue, Path(config.catalogue.folder), config.fleet.cells)
         self._book = DirectorBook(files)
         self._disk_failed = False
-        self._put_kept_in_force()
+        self._apply_stored()
         relays = config.configuration.relays
         self._client = NamedPools(loop, {relay.name: relay.url for relay in relays}, POOL_LIMITS)
         self._agent = Agent(
@@ -62,13 +62,13 @@
             self._book.content,
         )
 
-    def _put_kept_in_force(self) -> None:
+    def _apply_stored(self) -> None:
         if self._book.unusable:
             self._log.error("configuration on disk not used", detail=self._book.unusable)
-        kept = Change(dict(self._book.content.values))
-        problem = self._titles.check(kept)
+        stored = Change(dict(self._book.content.values))
+        problem = self._titles.check(stored)
         if problem is None:
-            self._titles.apply(kept)
+            self._titles.apply(stored)
             return
         detail = f"{problem.key}: {problem.cause}"
         self._log.error("configuration on disk not used", detail=detail)
@@ -81,16 +81,16 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether nothing waits to be written to the disk."""
+        """Whether nothing is waiting to be written to the disk."""
         return self._book.flushed
 
     def start(self) -> None:
-        """Watch the first relay."""
+        """Start watching the first relay."""
         self._log.info("configuration in force", version=self.version)
         self._carry_out(self._agent.start())
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Close connections and files."""
         self._client.close()
         self._book.close()
 
@@ -108,7 +108,7 @@
                     self._counters.add("configuration changes")
                     self._log.info("configuration in force", version=version, keys=len(change.puts))
                 case agent.Persist(version, change, whole):
-                    self._book.keep(version, change, whole, self._kept)
+                    self._book.keep(version, change, whole, self._persisted)
                 case agent.Say(what, version, key, cause):
                     self._counters.add(what)
                     self._log.error(what, version=version, key=key, detail=cause)
@@ -122,7 +122,7 @@
         body = msgspec.json.encode(send.watch)
         self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, answered)
 
-    def _kept(self, error: OSError | None) -> None:
+    def _persisted(self, error: OSError | None) -> None:
         if error is not None and not self._disk_failed:
             self._disk_failed = True
-            self._log.error("configuration not kept on disk, in force all the same", detail=str(error))
+            self._log.error("configuration not kept on disk, but in force", detail=str(error))
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -170,7 +170,7 @@
                 self._attempt(event)
         return self._actions
 
-    # ---- Evidence of zones ----------------------------------------------------------------------------
+    # ---- Evidence of zones --------------------------------------------------------------------------------
     def _record_contact(self, event: at.Answered | at.Lost) -> None:
         """Remember how a box was reached, as evidence for the state of its zone."""
         session = self.sessions.get(event.session)
@@ -594,8 +594,8 @@
             # the box may have run it: it is charged once, and marked as estimated
             token = session.token
             expiry_ms = self._expiry_ms(token)
-            estimated = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, expiry_ms)
-            self._actions.append(ev.WriteLedgerEntry(estimated))
+            charge = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, expiry_ms)
+            self._actions.append(ev.WriteLedgerEntry(charge))
         final = event.playing or session.withdrawn
         if event.playing or event.outcome is not fl.Outcome.OK:
             detail = f"{event.outcome.value}{', was playing' if event.playing else ''}"
@@ -723,7 +723,7 @@
 
     def _list_changed(self, update: TellList) -> None:
         if update.kind is fl.ListKind.FAILED:
-            self._actions.append(ev.WriteLog("box list not heard"))
+            self._actions.append(ev.WriteLog("box list not received"))
             self._notify_module(fl.NodeList(fl.ListKind.FAILED))
             return
         infos = [info for info in map(self._node_info, update.boxes) if info is not None]
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -1,7 +1,7 @@
-"""The director on its sockets: carries out what the core says, and tells it what came of it.
+"""The director process: connects the core to sockets, disk and timers.
 
-Requests come in here (`asked`) and are answered by `answers.py`; commands to media servers, notice streams,
-box list, intents and exports each have a module of their own.
+Requests arrive here (`handle_request`); `answers.py` responds to them. Commands to media servers, notice
+streams, box list, intents and exports each have their own module.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
     | events.UpdateListedBoxes
 )
 
-MAX_FLUSH_S = 2.0  # how long a stop waits for the disk
-SERVER_STOP_MS = 1000.0  # how long a stop waits for answers that are due
+MAX_FLUSH_S = 2.0  # at a stop, for writes to the disk
+SERVER_STOP_MS = 1000.0  # at a stop, for pending responses
 
 
 class Daemon:
@@ -77,7 +77,7 @@
         trace: Callable[[float, fl.Event, list[fl.Action]], None] | None = None,
         make: Callable[[fl.Settings, int], Director] = Director,
     ) -> None:
-        """Reads keys, catalogue, cached list and the record of paid set-ups.
+        """Reads keys, catalogue, cached box list, ledger and intent log.
 
         Raises ConfigError, ValueError, LogError and OSError, each of which names the file.
         """
@@ -91,18 +91,18 @@
         self._events: deque[events.Event] = deque()
         self._handling = False
         start_s = time.time() if unix_s is None else unix_s
-        self.timeline = Timeline(loop, start_s, config.stall_ms, self._stalled)
+        self.timeline = Timeline(loop, start_s, config.stall_ms, self._on_stall)
         self._open_files(files)
         self.configuration = self._make_configuration()
         self.cluster = self._make_cluster()
-        run = int(start_s * 1000) & 0xFFFFFFFFFF if self.cluster is None else self.cluster.boot_epoch
+        boot_epoch = int(start_s * 1000) & 0xFFFFFFFFFF if self.cluster is None else self.cluster.boot_epoch
         self._list_client = ListClient(config, loop, self.files, self.feed)
-        self.core = Core(config, self._list_client.cached(), format(run, "x"), secret, trace, make)
+        self.core = Core(config, self._list_client.cached(), format(boot_epoch, "x"), secret, trace, make)
         self._connect_servers()
         self._make_front()
 
     def _open_files(self, files: FilePort | None) -> None:
-        """Catalogue, keys and the state folder: ledger and record of paid set-ups."""
+        """Read catalogue and keys; open the state folder with ledger and intent log."""
         config = self.config
         self._disk = DiskFiles(Path(config.state), self.loop) if files is None else None
         port = files or self._disk
@@ -117,7 +117,7 @@
             self.files,
             tariff,
             int(config.ledger.grace_ms),
-            on_failed=self._ledger_failed,
+            on_failed=self._on_ledger_failed,
             keep_open=config.peers.on,
         )
         self.intent_log = IntentLog(self.files, self.journal.book.account.forgot / 1000)
@@ -140,11 +140,11 @@
         return ClusterHost(self)
 
     def _connect_servers(self) -> None:
-        """Everything that goes to media servers and comes from them."""
+        """Create the connections to media servers: commands, notice streams and intents."""
         config, loop = self.config, self.loop
 
         def feed(event: events.Event) -> None:
-            self.feed(event)  # looked up each time: benchmarks put a probe in its place
+            self.feed(event)  # looked up at each call: benchmarks replace it with a probe
 
         ownership: Ownership = SoleOwner() if self.cluster is None else self.cluster
         self.pools = ServerPools(config, loop, lambda: self.core.boxes)
@@ -155,7 +155,7 @@
         self._intents = IntentWriter(config, self.timeline, self.counters, self.intent_log, feed)
 
     def _make_front(self) -> None:
-        """The viewers' listener, and what reads and answers their requests."""
+        """Create the viewers' HTTP server with its authorisation and responses."""
         config, core, front = self.config, self.core, self.config.front
         self.authorizer = RequestAuthorizer(
             self.verifier, self.catalogue, core.knows_class, core.knows_tenant
@@ -171,16 +171,18 @@
             header_time_ms=front.header_time_ms,
             idle_time_ms=front.idle_time_ms,
         )
-        # a token in a query is part of the page's or manifest's URL: nobody else is told it
-        always = (("referrer-policy", "no-referrer"),)
-        self.server = Server(self.loop, self.asked, limits, Cors(front.origins, front.preflight_s), always)
+        # a token in the query is part of the manifest's URL: the player must not send it on as a referrer
+        extra_headers = (("referrer-policy", "no-referrer"),)
+        self.server = Server(
+            self.loop, self.handle_request, limits, Cors(front.origins, front.preflight_s), extra_headers
+        )
         self.server.cached_response = self.answers.cached_response
 
-    # ---- Life ---------------------------------------------------------------------------------------------
+    # ---- Start and stop -----------------------------------------------------------------------------------
     async def start(self) -> int:
-        """Listen, recall paid set-ups, ask for the box list; gives back the port."""
-        for known in self.intent_log.recovered.values():
-            self.feed(events.IntentRecovered(known))
+        """Recover the intents, request the box list and listen; returns the port."""
+        for intent in self.intent_log.recovered.values():
+            self.feed(events.IntentRecovered(intent))
         if self.cluster is not None:
             self.cluster.start_ledger()
             await self.cluster.service.start()
@@ -197,21 +199,21 @@
         return port
 
     async def stop(self, grace_ms: float | None = None) -> None:
-        """Take no new session; what is asked for gets its answer; playing ones may run for the grace."""
+        """Accept no new sessions, respond to pending requests and let sessions play on for `grace_ms`."""
         grace_ms = self.config.front.stop_time_ms if grace_ms is None else grace_ms
         self.stopping = True
         self.log.info("stopping", playing=self.core.attempts.live, waiting=self.core.waiting)
-        until = self.loop.time() + grace_ms / 1000
+        deadline_s = self.loop.time() + grace_ms / 1000
         if self.cluster is not None:
-            self.cluster.service.leave()  # the others take over what plays
-        while self.core.sessions and self.loop.time() < until:
+            self.cluster.service.leave()  # the other directors take over the playing sessions
+        while self.core.sessions and self.loop.time() < deadline_s:
             await asyncio.sleep(min(0.05, grace_ms / 1000))
         await self.server.stop(SERVER_STOP_MS)
         if self.cluster is not None:
             await self.cluster.service.stop()
-        until = self.loop.time() + MAX_FLUSH_S
-        # what was written down in the last moments must last: the disk's thread ends with close
-        while not self._flushed and self.loop.time() < until:
+        deadline_s = self.loop.time() + MAX_FLUSH_S
+        # the last records must become durable: `close` ends the disk thread
+        while not self._flushed and self.loop.time() < deadline_s:
             await asyncio.sleep(0.005)
         self.close()
 
@@ -222,13 +224,13 @@
         return self.intent_log.flushed and self.journal.log.flushed and registers and configuration
 
     def superseded(self) -> None:
-        """Another process has this director's name: this one must do nothing more."""
+        """Another process runs under this director's name: this one must stop at once."""
         self.stopping = True
         self.close()
         self.on_superseded()
 
     def close(self) -> None:
-        """Let go of everything at once; a second call does nothing."""
+        """Close everything at once; a second call does nothing."""
         if self.timeline.closed:
             return
         self.timeline.close()
@@ -250,7 +252,7 @@
         self.journal.handle(int(self.timeline.now()), ForgetDue())
         self.timeline.later(float(ALIVE_EVERY_MS), self._ledger_tick)
 
-    def _ledger_failed(self, error: OSError) -> None:
+    def _on_ledger_failed(self, error: OSError) -> None:
         self.counters.add("ledger records not kept")
         self.log.error("the ledger cannot be written", detail=str(error))
 
@@ -266,13 +268,13 @@
             self.journal, self.files, target, self.timeline, self.config.ledger.export_every_ms
         )
 
-    def _stalled(self, late_ms: float) -> None:
+    def _on_stall(self, late_ms: float) -> None:
         self.counters.add("stalls")
         self.log.warning("the loop stood still", late_ms=round(late_ms))
 
     # ---- Requests -----------------------------------------------------------------------------------------
-    def asked(self, exchange: Exchange, passed: bool = False) -> None:
-        """A request of a viewer, or one that another director passed on."""
+    def handle_request(self, exchange: Exchange, passed: bool = False) -> None:
+        """Handle a request of a viewer; `passed`: another director has forwarded it."""
         request = exchange.request
         try:
             wanted = self.authorizer.authorize(request)
@@ -286,7 +288,7 @@
         except TokenError:
             expired = True
         if request.method == "HEAD":
-            # sets nothing up and joins nothing: what a GET would show now, if anything is shown
+            # HEAD starts no session: it shows what a GET would show of one that plays
             self.answers.peek(exchange, wanted, self.core.playing(token.id))
             return
         leaving = self.stopping and self.core.claims.is_new(token.id)
@@ -296,28 +298,30 @@
         self._last_request += 1
         number = self._last_request
         self.answers.add_pending(number, exchange, wanted, expired, passed)
-        exchange.on_disconnect = lambda: self._client_gone(number)
+        exchange.on_disconnect = lambda: self._client_disconnected(number)
         if leaving and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
-                self.answers.down(number, Why.UNREACHED)
+                self.answers.reject(number, Why.UNREACHED)
             return
         if self.cluster is None or not self.cluster.asked(number, passed):
             self.ask_core(number)
 
     def ask_core(self, number: int) -> None:
-        """Have the core answer a request that is held; nothing where its client has left."""
-        held = self.answers.pending.get(number)
-        if held is None:
+        """Pass a pending request to the core; does nothing if its client has left."""
+        pending = self.answers.pending.get(number)
+        if pending is None:
             return
-        waited_ms = max((self.loop.time() - held.exchange.request.arrived_s) * 1000, 0.0)
+        waited_ms = max((self.loop.time() - pending.exchange.request.arrived_s) * 1000, 0.0)
         if self.cluster is not None:
             waited_ms = self.cluster.waited_ms(number)
         self.feed(
-            events.ManifestRequested(number, held.wanted.token, held.wanted.title, held.expired, waited_ms)
+            events.ManifestRequested(
+                number, pending.wanted.token, pending.wanted.title, pending.expired, waited_ms
+            )
         )
 
-    def _client_gone(self, number: int) -> None:
-        if self.answers.gone(number):
+    def _client_disconnected(self, number: int) -> None:
+        if self.answers.remove(number):
             self.counters.add("clients gone")
             self.feed(events.ClientDisconnected(number))
             if self.cluster is not None:
@@ -325,7 +329,7 @@
 
     # ---- The core -----------------------------------------------------------------------------------------
     def feed(self, event: events.Event) -> None:
-        """Have the core handle an event; what happens meanwhile waits its turn."""
+        """Pass an event to the core; events that occur meanwhile are queued."""
         self._events.append(event)
         if self._handling:
             return
@@ -361,23 +365,23 @@
                 self._answer(action)
 
     def _put(self, put: events.SendSetUp) -> None:
-        """Send a set-up. Benchmarks time it by a probe in place of this method."""
+        """Send a set-up. Benchmarks replace this method to time it."""
         self.commands.send(put)
 
     def _answer(self, action: AnswerAction) -> None:
-        """Answer a request here, or have the cluster see to it."""
+        """Respond to a request, or pass the action to the cluster."""
         match action:
             case events.AnswerManifest(request, session):
                 self.counters.add(self.answers.show(request, session))
             case events.AnswerRefused(request, number, come_back_ms):
                 self.counters.add("refused")
-                self.answers.refused(request, number, come_back_ms)
+                self.answers.refuse(request, number, come_back_ms)
             case events.AnswerFailed(request, number):
                 self.counters.add("failed")
-                self.answers.failed(request, number)
+                self.answers.fail(request, number)
             case events.AnswerRejected(request, why):
                 self.counters.add("turned down", why.value)
-                self.answers.down(request, why, self._come_back_ms(why))
+                self.answers.reject(request, why, self._come_back_ms(why))
             case events.SessionClosed(session):
                 self.answers.session_over(session)
             case _:
@@ -385,7 +389,7 @@
                     self.cluster.carry_out(action)
 
     def _come_back_ms(self, why: Why) -> float:
-        """After how long a viewer may come back, 0 where that is not said."""
+        """The time after which a viewer may come back, 0 if it is not stated."""
         if self.cluster is None or why is not Why.UNREACHED:
             return 0.0
         return self.cluster.come_back_ms()
@@ -393,7 +397,8 @@
     def _record(
         self, action: events.PersistIntent | events.RecordIntentOutcome | events.WriteLedgerEntry
     ) -> None:
-        """Write down; where directors take over each other's work, a paid token is claimed first."""
+        """Write intents, outcomes and ledger entries. With peers, the token of a paid set-up is claimed
+        first."""
         match action:
             case events.PersistIntent() if self.cluster is not None:
                 self.cluster.service.token_claims.claim(action, lambda: self._intents.write(action))
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -15,8 +15,7 @@
 from foxlift.tokens import SessionToken
 
 
-# ---- Events
-# ---------------------------------------------------------------------------------------------------
+# ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class ManifestRequested:
     """A request for a title's manifest with a verified token. `waited_ms`: since its first byte."""
@@ -165,8 +164,7 @@
 )
 
 
-# ---- Actions
-# --------------------------------------------------------------------------------------------------
+# ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(slots=True)
 class Session:
     """A session that is requested or plays."""
--- a/foxlift/director/exports.py
+++ b/foxlift/director/exports.py
@@ -1,4 +1,4 @@
-"""Carries the ledger's batches to a folder or an HTTP receiver; the exporter decides what is sent next."""
+"""Delivers the ledger's batches to a folder or an HTTP receiver; the exporter decides what is sent next."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from foxlift.ledger.records import Linked
 from foxlift.store import DiskFiles, FilePort
 
-Done = Callable[[ex.Event], None]
+DeliveryCallback = Callable[[ex.Event], None]
 
 
 class Target(Protocol):
-    """Where batches go."""
+    """The destination of batches."""
 
-    def deliver(self, batch: ex.Deliver, data: bytes, done: Done) -> None:
-        """Deliver once; `done` is told Accepted, Lost or FencedOff, once."""
+    def deliver(self, batch: ex.Deliver, data: bytes, done: DeliveryCallback) -> None:
+        """Try to deliver once; `done` gets Accepted, Lost or FencedOff, exactly once."""
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the target."""
 
 
 class FileDrop:
-    """A folder: each batch a file of its own, there whole or not at all (write, sync, rename)."""
+    """A folder with one file for each batch, written atomically (write, sync, rename)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, folder: Path, ledger: str) -> None:
         self._loop, self._folder, self._ledger = loop, folder, ledger
         self._files: DiskFiles | None = None
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="foxlift-export")
 
-    def deliver(self, batch: ex.Deliver, data: bytes, done: Done) -> None:
+    def deliver(self, batch: ex.Deliver, data: bytes, done: DeliveryCallback) -> None:
         """See `Target.deliver`."""
         future = self._loop.run_in_executor(self._executor, self._write, batch, data)
         future.add_done_callback(lambda f: done(f.result()))
@@ -49,16 +49,16 @@
         name, fence = f"{self._ledger}-{batch.batch:09d}.jsonl", f"{self._ledger}.exporter"
         try:
             files = self._files = self._files or DiskFiles(self._folder, self._loop)
-            seen = int(files.read(fence) or b"0")
-            if seen > batch.exporter:
+            last_exporter = int(files.read(fence) or b"0")
+            if last_exporter > batch.exporter:
                 return ex.FencedOff()
-            if seen < batch.exporter:
+            if last_exporter < batch.exporter:
                 files.replace(fence, str(batch.exporter).encode())
-            kept = files.read(name)
-            if kept is None:
+            stored = files.read(name)
+            if stored is None:
                 files.replace(name, data)
-                kept = data
-            return ex.Accepted(batch.batch, ex.content_of(kept))
+                stored = data
+            return ex.Accepted(batch.batch, ex.content_of(stored))
         except (OSError, ValueError):
             return ex.Lost()
 
@@ -73,7 +73,7 @@
 
 
 class HttpReceiver:
-    """`PUT {url}/{ledger}/{batch}`, answered with batch and content hash; 409 for an old exporter."""
+    """`PUT {url}/{ledger}/{batch}`; response: batch and content hash; 409 for an old exporter."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, url: str, ledger: str) -> None:
         address = urlsplit(url)
@@ -82,12 +82,12 @@
             loop, address.hostname or "127.0.0.1", address.port or 80, PoolLimits(connect_ms=2000.0)
         )
 
-    def deliver(self, batch: ex.Deliver, data: bytes, done: Done) -> None:
+    def deliver(self, batch: ex.Deliver, data: bytes, done: DeliveryCallback) -> None:
         """See `Target.deliver`."""
         self._pool.call(
             "PUT",
             f"{self._path}/{self._ledger}/{batch.batch}",
-            lambda found: done(self._event(found)),
+            lambda result: done(self._event(result)),
             headers=(
                 ("content-type", "application/jsonl"),
                 ("idempotency-key", f"{self._ledger}-{batch.batch}"),
@@ -98,16 +98,16 @@
             timeout_ms=10_000.0,
         )
 
-    def _event(self, found: Response | Failure) -> ex.Event:
-        if isinstance(found, Failure):
+    def _event(self, result: Response | Failure) -> ex.Event:
+        if isinstance(result, Failure):
             return ex.Lost()
-        if found.status == 409:
+        if result.status == 409:
             return ex.FencedOff()
         try:
-            received = msgspec.json.decode(found.body, type=_Received)
+            received = msgspec.json.decode(result.body, type=_Received)
         except msgspec.MsgspecError:
             return ex.Lost()
-        return ex.Accepted(received.batch, received.content) if found.status in (200, 201) else ex.Lost()
+        return ex.Accepted(received.batch, received.content) if result.status in (200, 201) else ex.Lost()
 
     def close(self) -> None:
         """See `Target.close`."""
@@ -115,19 +115,19 @@
 
 
 class ExportRunner:
-    """Joins exporter, journal and target."""
+    """Connects exporter, journal and target."""
 
     def __init__(
-        self, journal: Journal, files: FilePort, target: Target, timeline: Timeline, every_ms: float
+        self, journal: Journal, files: FilePort, target: Target, timeline: Timeline, interval_ms: float
     ) -> None:
         self._journal, self._files, self._target = journal, files, target
-        self._timeline, self._every_ms = timeline, every_ms
+        self._timeline, self._interval_ms = timeline, interval_ms
         self.exporter = ex.Exporter(journal.standing)
         self.closed = False
         self._log = structlog.get_logger()
 
     def begin(self) -> None:
-        """Start; from now on it goes by itself."""
+        """Start the exports; they continue on a timer."""
         self._carry_out(self.exporter.begin(self._now()))
         self._tick()
 
@@ -137,11 +137,11 @@
     def _tick(self) -> None:
         if self.closed or self.exporter.stopped:
             return
-        self.look()
-        self._timeline.later(self._every_ms, self._tick)
+        self.cut_batch()
+        self._timeline.later(self._interval_ms, self._tick)
 
-    def look(self) -> None:
-        """Cut a batch now, if there is something that lasts and was not exported."""
+    def cut_batch(self) -> None:
+        """Cut a batch now if there are durable records that were not exported."""
         last = min(self._journal.last_billed, self._journal.log.durable)
         span = self.exporter.cut(last)
         if span is not None:
@@ -150,7 +150,7 @@
 
     @property
     def drained(self) -> bool:
-        """Whether everything that lasts has been accepted."""
+        """Whether every billed record has been accepted by the target."""
         return self._journal.standing.last >= self._journal.last_billed
 
     def _lines(self, first: int, last: int) -> bytes:
@@ -161,7 +161,7 @@
             found.append((number, linked))
         return ex.lines_of(found)
 
-    def _tell(self, event: ex.Event) -> None:
+    def _handle(self, event: ex.Event) -> None:
         if not self.closed:
             self._carry_out(self.exporter.handle(self._now(), event))
 
@@ -169,15 +169,15 @@
         for action in actions:
             match action:
                 case ex.Write(record):
-                    self._journal.write(record, lambda: self._tell(ex.Durable()))
+                    self._journal.write(record, lambda: self._handle(ex.Durable()))
                 case ex.Deliver():
-                    self._target.deliver(action, self._lines(action.first, action.last), self._tell)
+                    self._target.deliver(action, self._lines(action.first, action.last), self._handle)
                 case ex.RetryLater(delay_ms):
-                    self._timeline.later(delay_ms, lambda: self._tell(ex.RetryDue()))
+                    self._timeline.later(delay_ms, lambda: self._handle(ex.RetryDue()))
                 case ex.Stop(why):
                     self._log.error("exports stopped", detail=why)
 
     def close(self) -> None:
-        """Stop where it is; what was cut is sent again by the next exporter."""
+        """Stop; the next exporter sends a batch again that was cut and not accepted."""
         self.closed = True
         self._target.close()
--- a/foxlift/director/intent_writer.py
+++ b/foxlift/director/intent_writer.py
@@ -1,4 +1,4 @@
-"""Intents of paid set-ups: written to the disk before the set-up leaves."""
+"""Writes the intents of paid set-ups to the disk before the set-ups are sent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class IntentWriter:
-    """One director's. `feed` is told once of each intent whether it lasts."""
+    """One director's. `feed` gets one event for each intent: whether it is durable."""
 
     def __init__(
         self,
@@ -29,38 +29,38 @@
         self._intent_log, self._feed = intent_log, feed
         self._log = structlog.get_logger().bind(director=config.name)
 
-    def write(self, keep: events.PersistIntent) -> None:
-        """Write the intent; a disk that does not make it last within `intent-ms` counts as one that failed.
+    def write(self, request: events.PersistIntent) -> None:
+        """Write an intent. If it is not durable within `intent-ms`, it counts as failed.
 
-        The set-up never left then. The late record is followed by the word that it never ran, in this order.
+        The set-up is not sent then. The late intent is followed in the log by the outcome that it never ran.
         """
-        waiting = True
+        pending = True
 
         def written(error: OSError | None) -> None:
-            nonlocal waiting
-            if not waiting:
+            nonlocal pending
+            if not pending:
                 return
-            waiting = False
+            pending = False
             if error is None:
-                self._feed(attempts.IntentDurable(keep.session, keep.attempt))
+                self._feed(attempts.IntentDurable(request.session, request.attempt))
                 return
             self._counters.add("intents not kept")
             self._log.error("the record of paid set-ups cannot be written", detail=str(error))
-            self._feed(attempts.IntentFailed(keep.session, keep.attempt))
+            self._feed(attempts.IntentFailed(request.session, request.attempt))
 
         def too_late() -> None:
-            nonlocal waiting
-            if not waiting:
+            nonlocal pending
+            if not pending:
                 return
-            waiting = False
+            pending = False
             self._counters.add("intents too late")
-            self._log.error("the disk is too slow for paid set-ups", session=keep.session)
-            self._feed(attempts.IntentFailed(keep.session, keep.attempt))
+            self._log.error("the disk is too slow for paid set-ups", session=request.session)
+            self._feed(attempts.IntentFailed(request.session, request.attempt))
 
-        self._intent_log.record_intent(self._intent(keep), written)
+        self._intent_log.record_intent(self._intent(request), written)
         self._timeline.later(self._config.front.intent_ms, too_late)
 
-    def _intent(self, keep: events.PersistIntent) -> Intent:
-        token = keep.token
-        until = token.expires + self._config.tokens.leeway_s
-        return Intent(token.id, until, keep.box, keep.set_up, token.tenant, token.klass)
+    def _intent(self, request: events.PersistIntent) -> Intent:
+        token = request.token
+        expires = token.expires + self._config.tokens.leeway_s
+        return Intent(token.id, expires, request.box, request.set_up, token.tenant, token.klass)
--- a/foxlift/director/list_client.py
+++ b/foxlift/director/list_client.py
@@ -1,4 +1,5 @@
-"""The box list's service: long polls by Envoy endpoint discovery in JSON, and the last list on the disk."""
+"""Client of the box list service: long polls by Envoy endpoint discovery in JSON; caches the list on the
+disk."""
 
 from __future__ import annotations
 
@@ -18,12 +19,12 @@
 CACHE_FILE = "boxes.json"
 CONNECT_TIMEOUT_MS = 1000.0
 MAX_CONNECTIONS = 2
-MAX_ANSWER_BYTES = 16 << 20
-POLL_MARGIN_MS = 2000.0  # beyond the time that the service is asked to wait for news
+MAX_RESPONSE_BYTES = 16 << 20
+POLL_MARGIN_MS = 2000.0  # beyond the time that the service is asked to wait for a change
 
 
 class ListClient:
-    """One director's polls. `feed` is told what comes of each."""
+    """One director's polls. `feed` gets the result of each."""
 
     def __init__(
         self,
@@ -40,12 +41,12 @@
         limits = PoolLimits(
             connect_ms=CONNECT_TIMEOUT_MS,
             max_connections=MAX_CONNECTIONS,
-            max_response_bytes=MAX_ANSWER_BYTES,
+            max_response_bytes=MAX_RESPONSE_BYTES,
         )
         self._pool = Pool(loop, url.hostname or "127.0.0.1", url.port or 80, limits)
 
     def poll(self, version: int | None) -> None:
-        """Ask for what is newer than `version`, None for the whole list."""
+        """Request the changes since `version`; None: the whole list."""
         body = {
             "version_info": "" if version is None else str(version),
             "node": {"id": self._name},
@@ -54,37 +55,37 @@
         self._pool.call(
             "POST",
             self._path,
-            self._answered,
+            self._finished,
             headers=(("content-type", "application/json"), ("prefer", f"wait={self._poll_ms / 1000:g}")),
             body=msgspec.json.encode(body),
             timeout_ms=self._poll_ms + POLL_MARGIN_MS,
         )
 
     def cached(self) -> BoxList | None:
-        """The list kept on the disk. Raises OSError."""
+        """The list cached on the disk, if there is a readable one. Raises OSError."""
         data = self._files.read(CACHE_FILE)
         if data is None:
             return None
         try:
-            held = read_response(data)
+            cached = read_response(data)
         except ListError as error:
-            # a list that cannot be read is worth nothing, and the service has a better one
-            self._log.warning("cached box list not usable", detail=str(error))
+            # the service has a newer list anyway
+            self._log.warning("cached box list invalid", detail=str(error))
             return None
-        return held if isinstance(held, BoxList) else None
+        return cached if isinstance(cached, BoxList) else None
 
     def save(self, boxes: BoxList) -> None:
-        """Keep the list on the disk, if that can be."""
+        """Cache the list on the disk; an error is only logged."""
         try:
             self._files.replace(CACHE_FILE, encode_full(boxes))
         except OSError as error:
-            self._log.error("the box list cannot be kept", detail=str(error))
+            self._log.error("box list not cached on disk", detail=str(error))
 
     def close(self) -> None:
         """Close all connections."""
         self._pool.close()
 
-    def _answered(self, result: Response | Failure) -> None:
+    def _finished(self, result: Response | Failure) -> None:
         if isinstance(result, Failure) or result.status not in (200, 304):
             self._feed(ListFailed())
             return
@@ -92,9 +93,9 @@
             self._feed(ListAnswer(None))
             return
         try:
-            news = read_response(result.body)
+            update = read_response(result.body)
         except ListError as error:
-            self._log.warning("box list not readable", detail=str(error))
+            self._log.warning("box list invalid", detail=str(error))
             self._feed(ListFailed(unreadable=True))
             return
-        self._feed(ListAnswer(news))
+        self._feed(ListAnswer(update))
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -1,4 +1,4 @@
-"""Notice streams: what media servers tell of sessions as it happens, as server-sent events."""
+"""Notice streams: server-sent events in which media servers report on sessions as they change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class NoticeStreams:
-    """One director's streams, one for each server. `run`: the director's present one, as streams name it."""
+    """One director's streams, one for each server. `boot_epoch`: returns the director's present one."""
 
     def __init__(
         self,
@@ -23,22 +23,22 @@
         loop: asyncio.AbstractEventLoop,
         pools: ServerPools,
         ownership: Ownership,
-        run: Callable[[], str],
+        boot_epoch: Callable[[], str],
         feed: Callable[[events.Event], None],
     ) -> None:
         self._name, self._loop, self._pools = name, loop, pools
-        self._ownership, self._run, self._feed = ownership, run, feed
+        self._ownership, self._boot_epoch, self._feed = ownership, boot_epoch, feed
         self._log = structlog.get_logger().bind(director=name)
         self.open_streams: dict[int, Call] = {}
-        self._runs: dict[int, str] = {}  # in which run a server's stream was opened
+        self._epochs: dict[int, str] = {}  # in which epoch a server's stream was opened
 
     def open(self, node: int) -> None:
-        """Open a server's stream; the core is told where it breaks."""
+        """Open a server's stream; the core gets NoticeStreamClosed when it ends."""
         if not self._ownership.may_stream(node):
-            # until then hello would not name what earlier runs have there
+            # hello would not yet name the sessions of this director's earlier epochs
             self._loop.call_soon(self._feed, events.NoticeStreamClosed(node))
             return
-        run = self._runs[node] = self._run()
+        epoch = self._epochs[node] = self._boot_epoch()
         reader = NoticeReader()
 
         def received(data: bytes) -> None:
@@ -53,7 +53,7 @@
 
         call = self._pools.pool(node, PoolUse.NOTICES).call(
             "GET",
-            f"/notices?director={self._name}&run={run}{self._ownership.stream_query()}",
+            f"/notices?director={self._name}&run={epoch}{self._ownership.stream_query()}",
             ended,
             headers=(("accept", "text/event-stream"),),
             on_data=received,
@@ -61,9 +61,9 @@
         self.open_streams[node] = call
 
     def reopen(self, node: int) -> None:
-        """Break a stream that was opened in an earlier run: it says nothing of this one."""
+        """Close a stream that was opened in an earlier epoch: it has no notices of the present one."""
         call = self.open_streams.get(node)
-        if call is not None and self._runs.get(node) != self._run():
+        if call is not None and self._epochs.get(node) != self._boot_epoch():
             call.cancel()
 
     def close(self, node: int) -> None:
@@ -73,11 +73,11 @@
             call.cancel()
 
     def _read(self, node: int, reader: NoticeReader, data: bytes) -> bool:
-        """Hand the notices of these bytes to the core; False where they cannot be read."""
+        """Pass the notices in `data` to the core; False if they are invalid."""
         try:
             notices = reader.feed(data)
         except NoticeError as error:
-            self._log.warning("notices not readable", box=node, detail=str(error))
+            self._log.warning("notice stream invalid, closed", box=node, detail=str(error))
             return False
         for notice in notices:
             self._feed(events.NoticeReceived(node, notice))
--- a/foxlift/director/server_pools.py
+++ b/foxlift/director/server_pools.py
@@ -10,11 +10,11 @@
 from foxlift.http import Pool, PoolLimits
 from foxlift.membership import BoxEntry
 
-MAX_TAKEOVER_ANSWER_BYTES = 16 << 20  # a server full of sessions
+MAX_TAKEOVER_RESPONSE_BYTES = 16 << 20  # enough for all sessions of a server
 
 
 class PoolUse(Enum):
-    """What a pool is for: none of the three may wait behind another."""
+    """What a pool is used for. Each use has its own pool, so that none waits for another."""
 
     COMMANDS = "commands"
     NOTICES = "notices"
@@ -22,7 +22,7 @@
 
 
 class ServerPools:
-    """One pool for each server's address and use. `listed`: the servers of the list, by number."""
+    """One pool for each server address and use. `listed` returns the servers of the list by number."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         listed: Callable[[], Mapping[int, BoxEntry]],
     ) -> None:
         self._config, self._loop, self._listed = config.boxes, loop, listed
-        self._addresses: dict[int, tuple[str, int]] = {}  # as the list named them last
+        self._addresses: dict[int, tuple[str, int]] = {}  # as last listed
         self._pools: dict[tuple[str, int, PoolUse], Pool] = {}
 
     def address(self, node: int) -> tuple[str, int]:
@@ -56,10 +56,10 @@
 
     def _limits(self, use: PoolUse) -> PoolLimits:
         config = self._config
-        largest = MAX_TAKEOVER_ANSWER_BYTES if use is PoolUse.TAKEOVERS else config.max_answer_bytes
+        max_bytes = MAX_TAKEOVER_RESPONSE_BYTES if use is PoolUse.TAKEOVERS else config.max_answer_bytes
         return PoolLimits(
             connect_ms=config.connect_ms,
             max_connections=config.max_connections,
             idle_ms=config.idle_ms,
-            max_response_bytes=largest,
+            max_response_bytes=max_bytes,
         )
--- a/foxlift/http/server.py
+++ b/foxlift/http/server.py
@@ -277,7 +277,7 @@
         if length.isdigit() and int(length) > self.server.limits.max_body_bytes:
             raise _RejectedError(413, "body too large")
         if "host" not in self._headers and self._parser.get_http_version() == "1.1":
-            raise _RejectedError(400, "no Host header")  # RFC 9112 section 3.2
+            raise _RejectedError(400, "no host")  # RFC 9112 section 3.2
         if self._headers.get("expect", "").lower() == "100-continue" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -315,7 +315,7 @@
             return
         self._update_reading()
         if not path.startswith("/"):
-            exchange.reply_problem(400, "the target is not a path")
+            exchange.reply_problem(400, "the target is no path")
         elif request.method == "OPTIONS" and self.server.cors is not None:
             exchange.reply_encoded(self.server.cors.preflight(request.headers))
         elif self.server.stopping:
--- a/foxlift/store/log.py
+++ b/foxlift/store/log.py
@@ -39,7 +39,7 @@
 def encode_frame(sequence: int, payload: bytes) -> bytes:
     """One record. Raises LogError for a payload over MAX_PAYLOAD_BYTES."""
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise LogError(f"record too large: {len(payload)} bytes, at most {MAX_PAYLOAD_BYTES}")
+        raise LogError(f"record too large: {len(payload)} bytes; {MAX_PAYLOAD_BYTES} are allowed")
     start = struct.pack("<IQ", len(payload), sequence)
     return start + struct.pack("<I", _crc(start + payload)) + payload
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -55,7 +55,7 @@
             world.fleet.command("drain", name)
         boxes = world.director.core.boxes
         await world.until(lambda: all(b.status is fl.Status.DRAINING for b in boxes.values()))
-        world.director.answers.refused = lambda *_: None  # type: ignore[method-assign]
+        world.director.answers.refuse = lambda *_: None  # type: ignore[method-assign]
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
         target = f"/dash/t1/manifest.mpd?token={world.token('a')}"
         writer.write(f"GET {target} HTTP/1.1\r\nhost: x\r\n\r\n".encode())
