--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -166,9 +166,14 @@
         found = self._cached.get(data)
         if found is None:
             return None
-        session, manifest, response = found
+        session, cached_manifest, response = found
         current = session.manifest
-        if session.closed or current is None or current is not manifest or current[0][0] != session.rung:
+        if (
+            session.closed
+            or current is None
+            or current is not cached_manifest
+            or current[0][0] != session.rung
+        ):
             del self._cached[data]
             self._cached_keys[session.number].remove(data)
             return None
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -206,7 +206,7 @@
                 continue
             capacity_kb = sum(fleet.link_kb_per_weight * self.boxes[node].weight for node in zone_nodes)
             uses = [self._link_uses[node] for node in zone_nodes if node in self._link_uses]
-            asked = capacity_kb * sum(uses) / len(uses) if uses else 0.0
+            link_demand_kb = capacity_kb * sum(uses) / len(uses) if uses else 0.0
             delivered = [
                 self._delivered_shares[node][0] for node in zone_nodes if node in self._delivered_shares
             ]
@@ -219,7 +219,7 @@
                 silent=len(unreached),
                 delivered=sum(delivered) / len(delivered) if delivered else 1.0,
                 gives=capacity_kb,
-                asked=asked,
+                asked=link_demand_kb,
                 demand=own_demand,
             )
         return evidence
@@ -328,8 +328,8 @@
             self._close_session(session, ran=True)
 
     def _token_of(self, request: int) -> str:
-        asked = self._requests.get(request)
-        return "" if asked is None else asked.token.id
+        requested = self._requests.get(request)
+        return "" if requested is None else requested.token.id
 
     # ---- Between directors --------------------------------------------------------------------------------
     def _token_claim_failed(self, event: ev.TokenClaimFailed) -> None:
@@ -466,9 +466,11 @@
             self._notify_module(fl.Ended(session.number, action.node, session.attempt, never, False, 0.0))
             return
         self._require_link(action.node)
-        set_up = "" if parked_at is None else parked_at.set_up
+        parked_set_up = "" if parked_at is None else parked_at.set_up
         self._attempt(
-            at.Send(action.session, session.attempt, action.node, session.rung, session.paid, until, set_up)
+            at.Send(
+                action.session, session.attempt, action.node, session.rung, session.paid, until, parked_set_up
+            )
         )
 
     def _count_rejected(self, number: int, outcome: str) -> None:
@@ -745,8 +747,8 @@
                 self._attempt(at.Serves(info.node))
         # the module first: it may place the sessions stopped below anew at once, but not at a box that drains
         self._notify_module(fl.NodeList(update.kind, tuple(infos)))
-        for node, gone in closed:
-            self._attempt(at.Drains(node, gone))
+        for node, removed in closed:
+            self._attempt(at.Drains(node, removed))
             self._release_link(node)
         if self.config.peers.on:
             self._actions.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -95,9 +95,9 @@
         self._open_files(files)
         self.configuration = self._make_configuration()
         self.cluster = self._make_cluster()
-        boot_epoch = int(start_s * 1000) & 0xFFFFFFFFFF if self.cluster is None else self.cluster.boot_epoch
+        epoch = int(start_s * 1000) & 0xFFFFFFFFFF if self.cluster is None else self.cluster.boot_epoch
         self._list_client = ListClient(config, loop, self.files, self.feed)
-        self.core = Core(config, self._list_client.cached(), format(boot_epoch, "x"), secret, trace, make)
+        self.core = Core(config, self._list_client.cached(), format(epoch, "x"), secret, trace, make)
         self._connect_servers()
         self._make_front()
 
--- a/foxlift/director/intent_writer.py
+++ b/foxlift/director/intent_writer.py
@@ -62,5 +62,5 @@
 
     def _intent(self, request: events.PersistIntent) -> Intent:
         token = request.token
-        expires = token.expires + self._config.tokens.leeway_s
-        return Intent(token.id, expires, request.box, request.set_up, token.tenant, token.klass)
+        expires_s = token.expires + self._config.tokens.leeway_s
+        return Intent(token.id, expires_s, request.box, request.set_up, token.tenant, token.klass)
--- a/foxlift/store/intents.py
+++ b/foxlift/store/intents.py
@@ -70,7 +70,7 @@
 class IntentLog:
     """The log of intents, written in groups: see `GroupWriter`.
 
-    Once the disk has failed, every later intent fails at once: no paid set-up leaves without its record.
+    After a disk error every later intent fails at once: no paid set-up is sent without a durable intent.
     """
 
     def __init__(self, files: FilePort, keep_from: float) -> None:
@@ -92,38 +92,48 @@
 
     def _load(self, keep_from: float) -> dict[str, RecoveredIntent]:
         data = self._files.read(LOG_NAME)
-        known: dict[str, RecoveredIntent] = {}
+        intents: dict[str, RecoveredIntent] = {}
         if data is None:
-            return known
+            return intents
         reader = LogReader(LOG_NAME, data)
         for number, payload in enumerate(reader.payloads, 1):
             try:
                 record = msgspec.json.decode(payload, type=_Record)
                 if record.k == "i":
-                    known[record.t] = RecoveredIntent(
+                    intents[record.t] = RecoveredIntent(
                         record.t, record.x, record.b, record.s, IntentOutcome.MAY_HAVE_RUN, record.n, record.c
                     )
-                elif record.t in known:
-                    known[record.t] = replace(known[record.t], outcome=IntentOutcome(record.v))
+                elif record.t in intents:
+                    intents[record.t] = replace(intents[record.t], outcome=IntentOutcome(record.v))
             except (msgspec.MsgspecError, ValueError) as error:
                 raise LogError(f"{LOG_NAME}: record {number}: {error}") from error
-        spent = {t: k for t, k in known.items() if k.outcome is not IntentOutcome.NEVER_RAN}
-        return {t: k for t, k in spent.items() if k.expires > keep_from}
+        started = {
+            token: intent
+            for token, intent in intents.items()
+            if intent.outcome is not IntentOutcome.NEVER_RAN
+        }
+        return {token: intent for token, intent in started.items() if intent.expires > keep_from}
 
     def _rewrite(self) -> None:
         """Write a new log of the recovered intents only, so that its size is bounded by unexpired tokens."""
         data = encode_header()
-        for known in self.recovered.values():
-            data += self._frame(
+        for intent in self.recovered.values():
+            data += self._encode_record(
                 _Record(
-                    "i", known.token, known.expires, known.box, known.set_up, n=known.tenant, c=known.klass
+                    "i",
+                    intent.token,
+                    intent.expires,
+                    intent.box,
+                    intent.set_up,
+                    n=intent.tenant,
+                    c=intent.klass,
                 )
             )
-            if known.outcome is not IntentOutcome.MAY_HAVE_RUN:
-                data += self._frame(_Record("o", known.token, v=known.outcome.value))
+            if intent.outcome is not IntentOutcome.MAY_HAVE_RUN:
+                data += self._encode_record(_Record("o", intent.token, v=intent.outcome.value))
         self._files.replace(LOG_NAME, data)
 
-    def _frame(self, record: _Record) -> bytes:
+    def _encode_record(self, record: _Record) -> bytes:
         self._sequence += 1
         return encode_frame(self._sequence, msgspec.json.encode(record))
 
@@ -132,11 +142,11 @@
         record = _Record(
             "i", intent.token, intent.expires, intent.box, intent.set_up, n=intent.tenant, c=intent.klass
         )
-        self._writer.append(self._frame(record), done)
+        self._writer.append(self._encode_record(record), done)
 
     def record_outcome(self, token: str, outcome: IntentOutcome) -> None:
         """Record the outcome of a token's intent with the next group."""
-        self._writer.append(self._frame(_Record("o", token, v=outcome.value)))
+        self._writer.append(self._encode_record(_Record("o", token, v=outcome.value)))
 
     @property
     def flushed(self) -> bool:
--- a/foxlift/store/segments.py
+++ b/foxlift/store/segments.py
@@ -115,7 +115,7 @@
         if self._writing or not self._batch:
             return
         data = b"".join(self._batch)
-        callbacks, last_sequence, count = self._callbacks, self.last_sequence, len(self._batch)
+        callbacks, batch_end, count = self._callbacks, self.last_sequence, len(self._batch)
         self._batch, self._callbacks = [], []
         if self._closed and self.failed is None:
             self.failed = OSError(errno.EBADF, "the log is closed")
@@ -128,15 +128,15 @@
             if self._file is not None:
                 self._file.close()
             # created by its first write, off the event loop; a header torn by it precedes no record
-            self._file = self._files.open_append(segment_name(self._name, last_sequence - count + 1))
+            self._file = self._files.open_append(segment_name(self._name, batch_end - count + 1))
             data, self._size = encode_header() + data, 0
         self._size += len(data)
-        self._file.write_sync(data, lambda error: self._written(error, callbacks, last_sequence))
+        self._file.write_sync(data, lambda error: self._written(error, callbacks, batch_end))
 
-    def _written(self, error: OSError | None, callbacks: list[AppendCallback], last_sequence: int) -> None:
+    def _written(self, error: OSError | None, callbacks: list[AppendCallback], batch_end: int) -> None:
         self._writing = False
         if error is None:
-            self.durable = last_sequence
+            self.durable = batch_end
         else:
             self.failed = self.failed or error
         for done in callbacks:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -43,7 +43,7 @@
 
 @dataclass
 class Reply:
-    """An answer as the wire had it."""
+    """A response as received."""
 
     status: int
     headers: dict[str, str]
@@ -52,7 +52,7 @@
 
 @dataclass
 class World:
-    """What a test on sockets has to hand."""
+    """The running processes of a test, with helpers to use them."""
 
     folder: Path
     loop: asyncio.AbstractEventLoop
@@ -73,14 +73,14 @@
     async def manifest(self, token: str, title: str = "t1", port: int | None = None) -> Reply:
         return await ask(port or self.port, f"/dash/{title}/manifest.mpd?token={token}")
 
-    async def until(self, true: Callable[[], object], seconds: float = 5.0) -> None:
-        """Wait for something to become true."""
+    async def until(self, condition: Callable[[], object], seconds: float = 5.0) -> None:
+        """Wait until `condition` returns a true value."""
         end = self.loop.time() + seconds
-        while not true():
-            assert self.loop.time() < end, "it did not become true"
+        while not condition():
+            assert self.loop.time() < end, f"not true within {seconds} s"
             await asyncio.sleep(0.01)
 
-    def told(self, kind: type) -> list[Any]:
+    def module_events(self, kind: type) -> list[Any]:
         return [event for event, _ in self.trace if isinstance(event, kind)]
 
     def set_ups(self, claim: str) -> int:
@@ -90,7 +90,7 @@
         return [set_up for box in self.fleet.boxes.values() for set_up in box.model.sessions]
 
     def kill(self) -> None:
-        """End the director as kill -9 does: nothing more is written, sent or answered."""
+        """End the director as kill -9 does: it writes and sends nothing more."""
         self.director.feed = lambda event: None  # type: ignore[method-assign]
         server = self.director.server
         if server._server is not None:
@@ -100,7 +100,7 @@
         self.director.close()
 
     def new_director(self, name: str = "d0", files: FilePort | None = None) -> Daemon:
-        """Another process of a director, as after a kill: it has the state folder and nothing else."""
+        """A new process of a director, as after a kill: it has only the state folder of the old one."""
         config = settings(self.folder, self.fleet.list_port, name)
         made = Daemon(
             config,
@@ -128,7 +128,7 @@
 
 
 async def ask(port: int, target: str, method: str = "GET", headers: str = "", body: bytes = b"") -> Reply:
-    """One request on a connection of its own; no code of the program reads the answer."""
+    """Send one request on a new connection; the response is parsed by test code only."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     length = f"content-length: {len(body)}\r\n" if body else ""
     head = f"{method} {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}{length}\r\n"
@@ -164,7 +164,7 @@
     titles: tuple[tuple[str, int, int], ...] = (("t1", 0, 4), ("t2", 0, 2)),
     taps: bool = False,
 ) -> None:
-    """Run a test in a world of its own."""
+    """Run a test with its own fleet and director."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -1,4 +1,5 @@
-"""The director's side of the box protocol: load reports, notices, what an answer proves; and the clock."""
+"""The box protocol as the director reads it (load reports, notices, refusals), and the director's
+timeline."""
 
 from __future__ import annotations
 
@@ -47,12 +48,12 @@
         ("TEXT " + "x" * 5000, None),
     ],
 )
-def test_load_reports_in_both_forms(value: str | None, load: fl.Load | None) -> None:
+def test_load_reports_are_read_in_json_and_text_form(value: str | None, load: fl.Load | None) -> None:
     assert read_load(value) == load
 
 
 @given(st.text(max_size=80))
-def test_no_header_costs_the_answer_it_came_with(value: str) -> None:
+def test_any_load_header_is_read_or_ignored_without_an_error(value: str) -> None:
     for form in ("", "JSON ", "TEXT "):
         found = read_load(form + value)
         assert found is None or found != fl.Load()
@@ -68,7 +69,7 @@
 
 
 @given(st.lists(st.integers(1, 60), max_size=30))
-def test_notices_come_out_whole_however_the_stream_is_cut(cuts: list[int]) -> None:
+def test_notices_are_parsed_whole_wherever_the_stream_is_split(cuts: list[int]) -> None:
     data = b": keep-alive\n\n" + b"".join(map(encode_notice, NOTICES)) + b"event: newer\ndata: {}\n\n"
     reader, found = NoticeReader(), []
     for cut in [*cuts, len(data)]:
@@ -88,17 +89,17 @@
         b"x" * (2 << 20),
     ],
 )
-def test_a_stream_that_makes_no_sense_is_given_up(data: bytes) -> None:
+def test_an_invalid_notice_stream_raises_an_error(data: bytes) -> None:
     with pytest.raises(NoticeError):
         NoticeReader().feed(data)
 
 
-def test_crlf_ends_lines_too() -> None:
+def test_notice_lines_may_end_with_crlf() -> None:
     data = encode_notice(NOTICES[0]).replace(b"\n", b"\r\n")
     assert NoticeReader().feed(data) == [NOTICES[0]]
 
 
-def test_only_a_boxs_own_word_proves_that_nothing_ran() -> None:
+def test_only_a_boxs_refusal_header_proves_that_nothing_ran() -> None:
     assert box_outcome(503, "full") is fl.Outcome.FULL
     assert box_outcome(503, "draining") is fl.Outcome.FULL
     assert box_outcome(503, None) is fl.Outcome.ERROR
@@ -115,7 +116,7 @@
 
 
 class FakeLoop:
-    """Time that the test moves; sockets are looked at once between timers, as a real loop does."""
+    """A loop whose time the test sets; it polls its sockets between timers, as a real loop does."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -136,7 +137,7 @@
         return self.call_at(self.now + delay, callback)
 
     def turn(self, now: float) -> None:
-        """One turn of the loop at a time: what is due, then the sockets."""
+        """One iteration of the loop at time `now`: due timers, then the sockets."""
         self.now = now
         due = []
         while self.heap and self.heap[0][0] <= now:
@@ -149,76 +150,76 @@
             callback()
 
 
-def timeline(loop: FakeLoop) -> tuple[Timeline, list[float]]:
+def make_timeline(loop: FakeLoop) -> tuple[Timeline, list[float]]:
     stalls: list[float] = []
-    made: asyncio.AbstractEventLoop = loop  # type: ignore[assignment]
-    return Timeline(made, 1_000_000.0, 200.0, stalls.append), stalls
+    event_loop: asyncio.AbstractEventLoop = loop  # type: ignore[assignment]
+    return Timeline(event_loop, 1_000_000.0, 200.0, stalls.append), stalls
 
 
-def test_timers_come_in_order_of_due_time_then_of_asking() -> None:
+def test_timers_run_in_order_of_due_time_then_of_registration() -> None:
     loop = FakeLoop()
-    line, stalls = timeline(loop)
-    seen: list[str] = []
-    line.later(50.0, lambda: seen.append("c"))
-    line.later(10.0, lambda: seen.append("a"))
-    line.later(10.0, lambda: seen.append("b"))
+    clock, stalls = make_timeline(loop)
+    events: list[str] = []
+    clock.later(50.0, lambda: events.append("c"))
+    clock.later(10.0, lambda: events.append("a"))
+    clock.later(10.0, lambda: events.append("b"))
     loop.turn(0.06)
-    assert seen == ["a", "b", "c"]
+    assert events == ["a", "b", "c"]
     assert stalls == []
-    assert line.now() == 1_000_000_060.0
+    assert clock.now() == 1_000_000_060.0
 
 
-def test_after_a_stall_what_came_meanwhile_is_seen_before_what_came_due() -> None:
+def test_after_a_stall_received_data_is_handled_before_due_timers() -> None:
     loop = FakeLoop()
-    line, stalls = timeline(loop)
-    seen: list[str] = []
-    line.later(600.0, lambda: seen.append("time-out"))
-    line.later(500.0, lambda: seen.append("beat"))
-    loop.sockets.append(lambda: seen.append("answer"))  # came during the stall
+    clock, stalls = make_timeline(loop)
+    events: list[str] = []
+    clock.later(600.0, lambda: events.append("time-out"))
+    clock.later(500.0, lambda: events.append("beat"))
+    loop.sockets.append(lambda: events.append("answer"))  # arrived during the stall
     loop.turn(5.0)
-    loop.sockets.append(lambda: seen.append("of one who had just connected"))  # accepted by the first look
-    for look in (1, 2, 3):
-        loop.turn(5.0 + look * 0.0015)
-    assert seen == ["answer", "of one who had just connected", "beat", "time-out"]
+    loop.sockets.append(lambda: events.append("new connection"))  # accepted by the first poll
+    for poll in (1, 2, 3):
+        loop.turn(5.0 + poll * 0.0015)
+    assert events == ["answer", "new connection", "beat", "time-out"]
     assert stalls == [pytest.approx(4500.0)]
-    assert line.stalls == 1
+    assert clock.stalls == 1
 
 
-def test_on_the_loop_in_service_what_came_during_a_stall_is_read_before_what_came_due() -> None:
+def test_on_uvloop_data_received_during_a_stall_is_handled_before_due_timers() -> None:
     async def test() -> None:
-        loop, seen = asyncio.get_running_loop(), list[str]()
+        loop, events = asyncio.get_running_loop(), list[str]()
         pairs = [socket.socketpair() for _ in range(2)]
 
-        class Reads(asyncio.Protocol):
+        class Reader(asyncio.Protocol):
             def data_received(self, data: bytes) -> None:
-                seen.append("answer")
+                events.append("answer")
 
-        class Stalls(asyncio.Protocol):
+        class StallingReader(asyncio.Protocol):
             def data_received(self, data: bytes) -> None:
-                # stands still while it reads: what comes now is found by the look after the timers
+                # stalls the loop while it reads: data sent now is found only by the poll after the timers
                 time.sleep(0.06)
                 pairs[0][1].send(b"x")
 
-        await loop.create_connection(Reads, sock=pairs[0][0])
-        await loop.create_connection(Stalls, sock=pairs[1][0])
-        over = loop.create_future()
-        line = Timeline(loop, time.time(), 20.0, lambda late: seen.append("stall"))
-        line.later(10.0, lambda: seen.append("time-out"))
-        line.later(10.0, lambda: over.set_result(None))
+        await loop.create_connection(Reader, sock=pairs[0][0])
+        await loop.create_connection(StallingReader, sock=pairs[1][0])
+        done = loop.create_future()
+        clock = Timeline(loop, time.time(), 20.0, lambda late: events.append("stall"))
+        clock.later(10.0, lambda: events.append("time-out"))
+        clock.later(10.0, lambda: done.set_result(None))
         pairs[1][1].send(b"y")
-        await asyncio.wait_for(over, 20)
-        for _, far in pairs:
-            far.close()
-        assert seen == ["stall", "answer", "time-out"]
+        await asyncio.wait_for(done, 20)
+        for _, peer in pairs:
+            peer.close()
+        assert events == ["stall", "answer", "time-out"]
 
     uvloop.run(test())
 
 
-def test_after_the_end_no_timer_comes() -> None:
+def test_after_close_no_timer_runs() -> None:
     loop = FakeLoop()
-    line, _ = timeline(loop)
-    seen: list[str] = []
-    line.later(10.0, lambda: seen.append("a"))
-    line.close()
+    clock, _ = make_timeline(loop)
+    events: list[str] = []
+    clock.later(10.0, lambda: events.append("a"))
+    clock.close()
     loop.turn(1.0)
-    assert seen == []
+    assert events == []
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,4 +1,5 @@
-"""The whole path on sockets: player, director, media box and back, and every hard case of it."""
+"""The whole path on sockets, from the player over the director to the media box and back, with its
+failures."""
 
 from __future__ import annotations
 
@@ -19,13 +20,13 @@
 
 
 def cap_of(reply: Reply) -> int:
-    """The cap that an answer tells a player, kbit/s (CTA-5006)."""
+    """The cap for the player in a response, kbit/s (CTA-5006)."""
     name, _, value = reply.headers["cmsd-dynamic"].partition(";mb=")
     assert name.startswith('"')
     return int(value)
 
 
-def test_a_session_plays_and_its_reload_is_no_new_session(tmp_path: Path) -> None:
+def test_a_session_plays_and_a_reload_starts_no_new_one(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
         first = await world.manifest(token)
@@ -37,8 +38,8 @@
         again = await world.manifest(token)
         assert again.body == first.body
         assert world.set_ups("a") == 1
-        assert len(world.told(fl.Ask)) == 1
-        assert len(world.told(fl.Started)) == 1
+        assert len(world.module_events(fl.Ask)) == 1
+        assert len(world.module_events(fl.Started)) == 1
 
     run(tmp_path, test)
 
@@ -56,7 +57,7 @@
     run(tmp_path, test)
 
 
-def test_what_is_wrong_with_a_request_is_told_as_problem_details(tmp_path: Path) -> None:
+def test_invalid_requests_get_problem_details(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         good = world.token("a")
         cases = {
@@ -77,7 +78,7 @@
             assert reply.headers["content-type"] == "application/problem+json"
             assert good[-20:].encode() not in reply.body
         assert (await ask(world.port, "/dash/t1/manifest.mpd", "POST")).status == 405
-        assert world.told(fl.Ask) == []
+        assert world.module_events(fl.Ask) == []
 
     run(tmp_path, test)
 
@@ -93,7 +94,7 @@
     run(tmp_path, test)
 
 
-def test_a_flood_on_one_token_is_bounded(tmp_path: Path) -> None:
+def test_waiting_requests_with_one_token_are_limited(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         for name in world.fleet.boxes:
             world.fleet.command("hang", name, True)
@@ -104,7 +105,7 @@
     run(tmp_path, test)
 
 
-def test_a_paid_set_up_whose_answer_is_lost_fails_and_is_never_repeated(tmp_path: Path) -> None:
+def test_a_paid_set_up_whose_response_is_lost_fails_and_is_never_repeated(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         for name in world.fleet.boxes:
             world.fleet.command("lose-answers", name, 1.0)
@@ -116,29 +117,29 @@
             world.fleet.command("lose-answers", name, 0.0)
         assert (await world.manifest(token)).status == 502
         assert world.set_ups("a") == 1
-        await world.until(lambda: not world.sessions())  # the box keeps no ghost of it
+        await world.until(lambda: not world.sessions())  # the box keeps no session of it
 
     run(tmp_path, test)
 
 
-def test_a_free_set_up_whose_answer_is_lost_is_repeated_elsewhere(tmp_path: Path) -> None:
+def test_a_free_set_up_whose_response_is_lost_is_repeated_at_another_box(tmp_path: Path) -> None:
     async def test(world: World) -> None:
-        # the title lies on two boxes; the first that is tried loses its answer
+        # two boxes store the title; the first that is tried loses its response
         for name in ("b0", "b1"):
             world.fleet.command("lose-answers", name, 1.0)
-        asked = asyncio.ensure_future(world.manifest(world.token("a", title="t2"), "t2"))
+        request = asyncio.ensure_future(world.manifest(world.token("a", title="t2"), "t2"))
         await world.until(lambda: world.set_ups("a") == 1)
         for name in ("b0", "b1"):
             world.fleet.command("lose-answers", name, 0.0)
-        assert (await asked).status == 200
+        assert (await request).status == 200
         assert world.set_ups("a") == 2
-        await world.until(lambda: len(world.sessions()) == 1)  # what the first box did is taken back
+        await world.until(lambda: len(world.sessions()) == 1)  # the session at the first box is released
 
     run(tmp_path, test)
 
 
 @pytest.mark.parametrize("moment", ["between intent and send", "between send and answer", "playing"])
-def test_a_director_killed_never_sets_a_paid_session_up_again(tmp_path: Path, moment: str) -> None:
+def test_a_killed_director_never_sets_a_paid_session_up_again(tmp_path: Path, moment: str) -> None:
     files = MemoryFiles()
 
     async def test(world: World) -> None:
@@ -147,86 +148,88 @@
         if moment == "between send and answer":
             for name in world.fleet.boxes:
                 world.fleet.command("hang", name, True)
-        asked = asyncio.ensure_future(world.manifest(token))
+        request = asyncio.ensure_future(world.manifest(token))
         if moment == "between intent and send":
             await world.until(lambda: files.held)
             name, data, _ = files.held.pop()
-            files.data[name] += data  # it reached the disk, and its writer was never told
+            files.data[name] += data  # it reached the disk, but the writer got no callback
         elif moment == "between send and answer":
             await world.until(lambda: world.director.commands.set_ups)
             await asyncio.sleep(0.05)
         else:
-            await asked
+            await request
         world.kill()
-        assert (await asked).status in (0, 200)
+        assert (await request).status in (0, 200)
         for name in world.fleet.boxes:
             world.fleet.command("hang", name, False)
         before = world.set_ups("a")
         files.hold = False
-        again = world.new_director(files=MemoryFiles(files.data))
-        port = await again.start()
-        await world.until(lambda: again.core.boxes)
+        restarted = world.new_director(files=MemoryFiles(files.data))
+        port = await restarted.start()
+        await world.until(lambda: restarted.core.boxes)
         expected = 410 if moment == "playing" else 502
         assert (await world.manifest(token, port=port)).status == expected
         assert (await world.manifest(world.token("b", "graded"), port=port)).status == 200
         assert world.set_ups("a") == before <= 1
-        # what the killed director left at a box is taken back by the next one, or by the box itself
+        # a session that the killed director left at a box is released by the next director or by the box
         await world.until(
             lambda: all(
-                ".".join(again.core.attempts.set_up_id(0, 0).split("-")[:1]) in s for s in world.sessions()
+                ".".join(restarted.core.attempts.set_up_id(0, 0).split("-")[:1]) in s
+                for s in world.sessions()
             )
         )
 
     run(tmp_path, test, files=files)
 
 
-@pytest.mark.parametrize("trouble", [errno.EIO, errno.ENOSPC, errno.EROFS])
-def test_no_paid_set_up_leaves_without_its_record(tmp_path: Path, trouble: int) -> None:
-    """The disk fails, is full, or was mounted read-only: free viewers go on, the operator is told."""
+@pytest.mark.parametrize("disk_error", [errno.EIO, errno.ENOSPC, errno.EROFS])
+def test_no_paid_set_up_is_sent_without_its_durable_intent(tmp_path: Path, disk_error: int) -> None:
+    """The disk fails, is full or is mounted read-only: free viewers are served, and counters show the
+    error."""
     files = MemoryFiles()
 
     async def test(world: World) -> None:
-        files.broken, files.error = True, trouble
+        files.broken, files.error = True, disk_error
         assert (await world.manifest(world.token("a", "graded"))).status == 503
         assert world.set_ups("a") == 0
         assert (await world.manifest(world.token("b", "briefing"))).status == 200
         assert world.director.counters.total("intents not kept") > 0
         assert world.director.counters.total("ledger records not kept") == 1
-        files.broken = False  # mended under the running director: not trusted again
+        files.broken = False  # repaired while the director runs: it does not use the disk again
         assert (await world.manifest(world.token("c", "graded"))).status == 503
         assert world.set_ups("c") == 0
 
     run(tmp_path, test, files=files)
 
 
-def test_a_disk_that_hangs_costs_paid_viewers_a_refusal_and_free_ones_nothing(tmp_path: Path) -> None:
+def test_a_hanging_disk_refuses_paid_viewers_and_does_not_affect_free_ones(tmp_path: Path) -> None:
     files = MemoryFiles()
 
     async def test(world: World) -> None:
         files.hold = True
         paid = world.token("a", "graded")
-        asked = asyncio.ensure_future(world.manifest(paid))
+        request = asyncio.ensure_future(world.manifest(paid))
         assert (await world.manifest(world.token("b", "briefing"))).status == 200
-        assert (await asked).status == 503  # nothing left: the same token may come again
+        assert (await request).status == 503  # nothing was sent: the same token may be used again
         assert world.set_ups("a") == 0
         assert world.director.counters.total("intents too late") > 0
         files.hold = False
         files.release()
         assert (await world.manifest(paid)).status == 200
         assert world.set_ups("a") == 1
-        again = world.new_director(files=MemoryFiles(files.data))
-        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
+        restarted = world.new_director(files=MemoryFiles(files.data))
+        assert restarted.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     edit = "(front (port 0) => (front (port 0) (intent-ms 150)"
     run(tmp_path, test, files=files, edit=edit)
 
 
-def test_a_drain_heard_between_choice_and_send_is_kept(tmp_path: Path) -> None:
+def test_a_drain_between_choice_and_send_of_a_set_up_is_respected(tmp_path: Path) -> None:
     files = MemoryFiles()
 
     async def test(world: World) -> None:
         files.hold = True
-        asked = asyncio.ensure_future(world.manifest(world.token("a", "graded", title="t2"), "t2"))
+        request = asyncio.ensure_future(world.manifest(world.token("a", "graded", title="t2"), "t2"))
         await world.until(lambda: files.held)
         (set_up,) = [a for _, actions in world.trace for a in actions if isinstance(a, fl.SetUp)]
         chosen = world.director.core.boxes[set_up.node].name
@@ -234,15 +237,15 @@
         await world.until(lambda: world.director.core.boxes[set_up.node].status is fl.Status.DRAINING)
         files.hold = False
         files.release()
-        assert (await asked).status == 200
+        assert (await request).status == 200
         assert world.fleet.boxes[chosen].set_ups == 0
-        (ended,) = world.told(fl.Ended)
+        (ended,) = world.module_events(fl.Ended)
         assert ended.outcome is fl.Outcome.NEVER_SENT
 
     run(tmp_path, test, files=files)
 
 
-def test_all_holders_draining_refuses_at_once_with_a_time_to_come_back(tmp_path: Path) -> None:
+def test_if_all_holders_drain_a_viewer_is_refused_at_once_with_a_retry_time(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         for name in world.fleet.boxes:
             world.fleet.command("drain", name)
@@ -256,7 +259,7 @@
     run(tmp_path, test)
 
 
-def test_a_box_back_under_the_same_name_has_lost_its_sessions(tmp_path: Path) -> None:
+def test_a_box_restarted_under_the_same_name_has_lost_its_sessions(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", title="t2")
         first = await world.manifest(token, "t2")
@@ -264,9 +267,9 @@
         (name,) = [n for n, box in world.fleet.boxes.items() if box.model.sessions]
         box = world.fleet.boxes[name]
         box.die()
-        await box.start(cold=True)  # at once, on the same port, before any list can tell
-        await world.until(lambda: world.told(fl.Ended))
-        (ended,) = world.told(fl.Ended)
+        await box.start(cold=True)  # at once and on the same port, before the box list changes
+        await world.until(lambda: world.module_events(fl.Ended))
+        (ended,) = world.module_events(fl.Ended)
         assert ended.outcome is fl.Outcome.RESET
         again = await world.manifest(token, "t2")
         assert again.status == 200
@@ -276,25 +279,25 @@
     run(tmp_path, test)
 
 
-def test_a_silent_box_loses_its_sessions_only_after_a_while(tmp_path: Path) -> None:
+def test_the_sessions_of_a_silent_box_end_only_after_a_time_out(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         await world.manifest(world.token("a"))
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
-        # the stream breaks, and the box goes on: the director must not take that for the session's end
+        # the stream breaks and the box runs on: the director must not end the session
         next(iter(world.director.streams.open_streams.values())).cancel()
         await world.until(lambda: box.streams.directors and len(world.director.streams.open_streams) == 1)
         await asyncio.sleep(0.1)
-        assert world.told(fl.Ended) == []
+        assert world.module_events(fl.Ended) == []
         box.die()
         start = world.loop.time()
-        await world.until(lambda: world.told(fl.Ended))
+        await world.until(lambda: world.module_events(fl.Ended))
         assert world.loop.time() - start >= 0.3
 
     run(tmp_path, test)
 
 
 @pytest.mark.parametrize("klass", ["graded", "briefing"])
-def test_a_client_that_leaves_during_its_set_up_leaves_no_ghost(tmp_path: Path, klass: str) -> None:
+def test_a_client_that_leaves_during_its_set_up_leaves_no_session_behind(tmp_path: Path, klass: str) -> None:
     async def test(world: World) -> None:
         for name in world.fleet.boxes:
             world.fleet.boxes[name].model.set_up_s = 0.2
@@ -304,7 +307,7 @@
         await world.until(lambda: world.director.commands.set_ups)
         await asyncio.sleep(0.05)
         writer.close()
-        await world.until(lambda: world.told(fl.Withdrawn))
+        await world.until(lambda: world.module_events(fl.Withdrawn))
         await world.until(lambda: any(box.model.gone for box in world.fleet.boxes.values()))
         await asyncio.sleep(0.4)
         assert world.sessions() == []
@@ -318,12 +321,12 @@
     run(tmp_path, test)
 
 
-def test_an_expired_token_reloads_what_it_started_and_starts_nothing(tmp_path: Path) -> None:
+def test_an_expired_token_reloads_its_session_but_starts_none(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         now = int(time.time())
         soon = world.token("a", expires=now + 1)  # the leeway is 2 s
         assert (await world.manifest(soon)).status == 200
-        # by its clock alone: in three real seconds its box would let the place go, a little sooner or later
+        # only the director's clock is advanced: after three real seconds the box would release the place
         world.director.timeline._offset_ms += 3100.0
         assert (await world.manifest(soon)).status == 200
         late = world.token("b", expires=now - 1)
@@ -332,8 +335,8 @@
     run(tmp_path, test)
 
 
-async def _raw_box(world: World, answer: Callable[[Any, Any], Awaitable[None]]) -> None:
-    """Put a peer that does not keep to HTTP in the place of every box."""
+async def _replace_boxes(world: World, answer: Callable[[Any, Any], Awaitable[None]]) -> None:
+    """Replace every box by a peer that may violate HTTP."""
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     for name in list(world.fleet.boxes):
@@ -349,7 +352,7 @@
 @pytest.mark.parametrize(
     "kind", ["garbage", "huge header", "half-close", "byte a second", "lying", "refuses"]
 )
-def test_a_box_that_misbehaves_costs_its_session_only(tmp_path: Path, kind: str) -> None:
+def test_a_misbehaving_box_affects_only_its_own_session(tmp_path: Path, kind: str) -> None:
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
@@ -377,11 +380,11 @@
             writer.close()
 
     async def test(world: World) -> None:
-        await _raw_box(world, answer)
+        await _replace_boxes(world, answer)
         token = world.token("a", "graded")
         reply = await world.manifest(token)
         if kind == "refuses":
-            assert reply.status == 503  # the box says that nothing ran: a further try is harmless
+            assert reply.status == 503  # the box states that nothing ran: another attempt is harmless
             assert reply.headers["retry-after"]
         else:
             assert reply.status == 504
@@ -392,7 +395,7 @@
     run(tmp_path, test)
 
 
-def test_a_list_older_than_the_one_held_undoes_no_drain(tmp_path: Path) -> None:
+def test_an_outdated_box_list_does_not_undo_a_drain(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         import json
 
@@ -403,7 +406,8 @@
         await world.until(lambda: boxes[draining].status is fl.Status.DRAINING)
         world.fleet.list.stale = old
         polls = world.fleet.list.polls
-        world.fleet.list.change("b1", health="HEALTHY")  # wakes the poll; the next answer is the old one
+        # completes the poll; the next response is the old list
+        world.fleet.list.change("b1", health="HEALTHY")
         await world.until(lambda: world.fleet.list.polls > polls + 1)
         await asyncio.sleep(0.05)
         assert world.director.core.boxes[draining].status is fl.Status.DRAINING
@@ -411,35 +415,36 @@
     run(tmp_path, test)
 
 
-def test_a_restart_without_the_list_service_goes_by_the_last_list(tmp_path: Path) -> None:
+def test_a_restart_without_the_list_service_uses_the_cached_list(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         world.fleet.command("list-down", value=True)
         world.kill()
-        again = world.new_director()
-        port = await again.start()
-        assert fl.ListKind.CACHED in [event.kind for event in world.told(fl.NodeList)]
+        restarted = world.new_director()
+        port = await restarted.start()
+        assert fl.ListKind.CACHED in [event.kind for event in world.module_events(fl.NodeList)]
         assert (await world.manifest(world.token("a"), port=port)).status == 200
-        await world.until(lambda: world.told(fl.NodeList)[-1].kind is fl.ListKind.FAILED)
+        await world.until(lambda: world.module_events(fl.NodeList)[-1].kind is fl.ListKind.FAILED)
         world.fleet.command("list-down", value=False)
-        await world.until(lambda: world.told(fl.NodeList)[-1].kind is fl.ListKind.FULL)
+        await world.until(lambda: world.module_events(fl.NodeList)[-1].kind is fl.ListKind.FULL)
 
     run(tmp_path, test)
 
 
-def test_the_module_hears_notices_and_its_rung_reaches_box_and_player(tmp_path: Path) -> None:
+def test_notices_reach_the_module_and_its_rung_reaches_box_and_player(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a")
-        shown = await world.manifest(token)
+        first = await world.manifest(token)
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         (session,) = box.model.sessions.values()
         before = session.rung
-        box.command("weaken", 0.01)  # too little for any rung: it stays short, and is lowered all the same
+        # too little for any rung: it stays too slow, and the rung is lowered nevertheless
+        box.command("weaken", 0.01)
         await world.until(lambda: session.rung < before)
         wanted = {fl.NoteKind.DELIVERED, fl.NoteKind.LINK, fl.NoteKind.RUNG}
-        await world.until(lambda: wanted <= {event.kind for event in world.told(fl.Note)})
+        await world.until(lambda: wanted <= {event.kind for event in world.module_events(fl.Note)})
         again = await world.manifest(token)
-        assert cap_of(again) < cap_of(shown)
-        assert again.body == shown.body  # a static title's manifest does not change with the rung
+        assert cap_of(again) < cap_of(first)
+        assert again.body == first.body  # a static title's manifest does not change with the rung
         port, base = base_of(again)
         segment = await ask(port, f"{base}vod/lo/1.m4s")
         assert cap_of(segment) == cap_of(again)
@@ -447,25 +452,25 @@
     run(tmp_path, test)
 
 
-def test_thousands_of_connections_that_send_nothing_cost_no_viewer_an_answer(tmp_path: Path) -> None:
+def test_thousands_of_idle_connections_do_not_keep_viewers_from_a_response(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         idle = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(2000)]
         assert (await world.manifest(world.token("a"))).status == 200
-        over = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(200)]
-        turned = parse(await over[-1][0].read())
-        assert (turned.status, turned.headers["retry-after"]) == (503, "1")
+        excess = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(200)]
+        rejected = parse(await excess[-1][0].read())
+        assert (rejected.status, rejected.headers["retry-after"]) == (503, "1")
         assert world.director.server.rejected_connections > 0
-        # the idle ones are closed when their time is up, and the door is open again
+        # the idle ones are closed after their time-out, and new connections are accepted again
         await world.until(lambda: len(world.director.server.connections) < 100, 10.0)
         assert (await world.manifest(world.token("b"))).status == 200
-        for _, writer in idle + over:
+        for _, writer in idle + excess:
             writer.close()
 
     edit = "(front (port 0) => (front (port 0) (max-connections 2100) (idle-time-ms 2500)"
     run(tmp_path, test, edit=edit)
 
 
-def test_a_remembered_reload_follows_rung_and_end_of_its_session(tmp_path: Path) -> None:
+def test_a_cached_reload_follows_the_rung_and_the_end_of_its_session(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
         token = world.token("a")
@@ -484,7 +489,7 @@
         lower = await reload()
         assert cap_of(lower) < cap_of(first)
         assert cap_of(await reload()) == cap_of(lower)
-        ready = daemon.answers.cached_reloads
+        reloads_before = daemon.answers.cached_reloads
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         box.die()
         await world.until(lambda: not daemon.core.sessions)
@@ -493,25 +498,25 @@
         again = await reload()
         assert again.status == 200
         assert base_of(again) != base_of(first)
-        assert daemon.answers.cached_reloads == ready
+        assert daemon.answers.cached_reloads == reloads_before
         writer.close()
 
     run(tmp_path, test)
 
 
-def test_a_stop_answers_what_is_held_and_lets_sessions_run_to_a_stated_end(tmp_path: Path) -> None:
+def test_a_stop_answers_pending_requests_and_lets_sessions_play_for_the_grace_time(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         playing = world.token("a")
         assert (await world.manifest(playing)).status == 200
         for box in world.fleet.boxes.values():
             box.model.set_up_s = 0.2
-        held = asyncio.ensure_future(world.manifest(world.token("b")))
+        pending = asyncio.ensure_future(world.manifest(world.token("b")))
         await world.until(lambda: world.director.commands.set_ups)
         stop = asyncio.ensure_future(world.director.stop(600.0))
         await asyncio.sleep(0.02)
         assert (await world.manifest(world.token("c"))).status == 503
         assert (await world.manifest(playing)).status == 200
-        assert (await held).status == 200
+        assert (await pending).status == 200
         await stop
         with pytest.raises(OSError):
             await world.manifest(playing)
@@ -519,31 +524,31 @@
     run(tmp_path, test)
 
 
-def test_a_stop_leaves_nothing_unwritten(tmp_path: Path) -> None:
+def test_a_stop_flushes_all_records(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         for k in range(20):
             assert (
                 await world.manifest(world.token(f"c{k}", "graded" if k % 2 else "briefing"))
             ).status == 200
         journal = world.director.journal
-        for k in range(50):  # more than one group behind the sync that is under way
+        for k in range(50):  # more than one group waits for the running sync
             journal.handle(0, TurnedAway("t", "briefing", f"refused {k}"))
         assert not journal.log.flushed
         await world.director.stop(0.0)
         assert journal.log.failed is None
-        again = world.new_director()
-        assert len(again.journal.book.account.counts) == 50
-        assert len(again.journal.book.account.charged) == 10
+        restarted = world.new_director()
+        assert len(restarted.journal.book.account.counts) == 50
+        assert len(restarted.journal.book.account.charged) == 10
 
     run(tmp_path, test)
 
 
-def test_intents_are_settled_as_the_attempts_end(tmp_path: Path) -> None:
+def test_the_outcome_of_an_intent_is_recorded_when_its_session_starts(tmp_path: Path) -> None:
     files = MemoryFiles()
 
     async def test(world: World) -> None:
         assert (await world.manifest(world.token("a", "graded"))).status == 200
-        again = world.new_director(files=MemoryFiles(files.data))
-        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
+        restarted = world.new_director(files=MemoryFiles(files.data))
+        assert restarted.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=files)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,5 @@
-"""The door as browsers meet it: other origins, HEAD and OPTIONS, the way back, sessions let go in a pause."""
+"""The director's HTTP interface for browsers: other origins, HEAD and OPTIONS, back URLs, sessions that are
+paused."""
 
 from __future__ import annotations
 
@@ -24,7 +25,7 @@
 
 
 def back_of(reply: Reply) -> tuple[int, str]:
-    """Port and path of the way back, the second BaseURL."""
+    """Port and path of the back URL, the second BaseURL."""
     text = reply.body.split(b"<BaseURL")[2].split(b">")[1].split(b"<")[0].decode()
     host, _, path = text.removeprefix("http://").partition("/")
     return int(host.partition(":")[2]), f"/{path}"
@@ -36,7 +37,7 @@
 
 
 # ---- Other origins ----------------------------------------------------------------------------------------
-def test_a_page_of_any_origin_may_read_manifests_refusals_and_segments(tmp_path: Path) -> None:
+def test_any_origin_may_read_manifests_refusals_and_segments(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         origin = "origin: http://page.example\r\n"
         shown = await ask(world.port, f"/dash/t1/manifest.mpd?token={world.token('a')}", headers=origin)
@@ -57,27 +58,27 @@
     run(tmp_path, test)
 
 
-def test_a_preflight_is_answered_without_the_module_by_director_and_box(tmp_path: Path) -> None:
+def test_director_and_box_answer_preflights_without_the_module(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         port, base = base_of(await world.manifest(world.token("a")))
-        told = len(world.trace)
-        for where, target in ((world.port, "/dash/t1/manifest.mpd"), (port, f"{base}vod/lo/1.m4s")):
-            reply = await ask(where, target, "OPTIONS", headers=PREFLIGHT)
+        traced = len(world.trace)
+        for request_port, target in ((world.port, "/dash/t1/manifest.mpd"), (port, f"{base}vod/lo/1.m4s")):
+            reply = await ask(request_port, target, "OPTIONS", headers=PREFLIGHT)
             assert (reply.status, reply.body) == (204, b"")
             assert reply.headers["access-control-allow-origin"] == "*"
             allowed = reply.headers["access-control-allow-headers"].split(", ")
             assert {"authorization", "range", "cmcd-request", "cmcd-session"} <= set(allowed)
             assert "GET" in reply.headers["access-control-allow-methods"]
             assert int(reply.headers["access-control-max-age"]) > 0
-        assert len(world.trace) == told
+        assert len(world.trace) == traced
 
     run(tmp_path, test)
 
 
-def test_with_a_list_of_origins_others_are_not_let_in_and_caches_are_told(tmp_path: Path) -> None:
+def test_with_a_list_of_origins_others_are_rejected_and_responses_vary_by_origin(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         target = f"/dash/t1/manifest.mpd?token={world.token('a')}"
-        for origin, let_in in (
+        for origin, allowed_origin in (
             ("http://page.example", True),
             ("http://evil.example", False),
             ("null", False),
@@ -86,10 +87,12 @@
             shown = await ask(world.port, target, headers=head)
             before = await ask(world.port, target, "OPTIONS", headers=head + PREFLIGHT.split("\r\n", 1)[1])
             for reply in (shown, before):
-                assert reply.headers.get("access-control-allow-origin") == (origin if let_in else None)
+                assert reply.headers.get("access-control-allow-origin") == (
+                    origin if allowed_origin else None
+                )
                 assert reply.headers["vary"] == "Origin"
                 assert "access-control-allow-credentials" not in reply.headers
-        # a remembered reload never hands one origin's answer to another
+        # a cached reload never serves one origin's response to another
         again = [
             await ask(world.port, target, headers=f"origin: {o}\r\n") for o in ("http://page.example",) * 3
         ]
@@ -98,7 +101,7 @@
     run(tmp_path, test, edit=LIST)
 
 
-def test_a_flood_of_preflights_costs_no_viewer_an_answer(tmp_path: Path) -> None:
+def test_a_flood_of_preflights_does_not_keep_viewers_from_a_response(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
         one = f"OPTIONS /dash/t1/manifest.mpd HTTP/1.1\r\nhost: x\r\n{PREFLIGHT}\r\n".encode()
@@ -120,11 +123,11 @@
     run(tmp_path, test)
 
 
-def test_preflights_of_many_origins_are_not_all_kept() -> None:
+def test_the_cache_of_preflights_is_limited() -> None:
     cors = Cors(("http://a.example",))
     for k in range(1000):
-        asked = {"origin": f"http://x{k}.example", "access-control-request-method": "GET"}
-        assert b"access-control-allow-origin" not in cors.preflight(asked)
+        headers = {"origin": f"http://x{k}.example", "access-control-request-method": "GET"}
+        assert b"access-control-allow-origin" not in cors.preflight(headers)
     assert len(cors._preflights) <= 256
     assert b"http://a.example" in cors.preflight(
         {"origin": "http://a.example", "access-control-request-method": "GET"}
@@ -132,7 +135,9 @@
 
 
 @pytest.mark.parametrize("origins", ['"*" "http://a.example"', '"a.example"', '"http://a.example/path"'])
-def test_origins_that_mean_nothing_are_refused_with_their_place(tmp_path: Path, origins: str) -> None:
+def test_invalid_origins_in_the_settings_are_rejected_with_their_position(
+    tmp_path: Path, origins: str
+) -> None:
     with pytest.raises(ConfigError, match=r"test\.sexp:\d+"):
         run(
             tmp_path,
@@ -142,13 +147,13 @@
 
 
 # ---- HEAD -------------------------------------------------------------------------------------------------
-def test_head_tells_what_get_would_and_sets_nothing_up(tmp_path: Path) -> None:
+def test_head_responds_as_get_and_sets_nothing_up(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         target = f"/dash/t1/manifest.mpd?token={world.token('a', 'graded')}"
         before = await ask(world.port, target, "HEAD")
         assert (before.status, before.body) == (200, b"")
         assert before.headers["content-type"] == "application/dash+xml"
-        assert world.told(fl.Ask) == []
+        assert world.module_events(fl.Ask) == []
         shown = await ask(world.port, target)
         after = await ask(world.port, target, "HEAD")
         assert after.body == b""
@@ -164,42 +169,42 @@
     run(tmp_path, test)
 
 
-# ---- The way back -----------------------------------------------------------------------------------------
-def test_a_player_whose_box_is_gone_finds_its_way_back_by_the_second_base(tmp_path: Path) -> None:
+# ---- Back URLs --------------------------------------------------------------------------------------------
+def test_a_player_whose_box_died_is_redirected_by_the_second_base_url(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         shown = await world.manifest(world.token("a", title="t2"), "t2")
         port, base = base_of(shown)
         back_port, back = back_of(shown)
-        sent = await ask(back_port, f"{back}vod/lo/7.m4s")
-        assert sent.status == 307
-        assert sent.headers["location"] == f"http://127.0.0.1:{port}{base}vod/lo/7.m4s"
-        assert (await follow(sent)).status == 200
+        redirect = await ask(back_port, f"{back}vod/lo/7.m4s")
+        assert redirect.status == 307
+        assert redirect.headers["location"] == f"http://127.0.0.1:{port}{base}vod/lo/7.m4s"
+        assert (await follow(redirect)).status == 200
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         box.die()
-        await world.until(lambda: world.told(fl.Ended))
-        moved = await ask(back_port, f"{back}vod/lo/8.m4s")
-        assert moved.status == 307
-        assert moved.headers["location"] != sent.headers["location"]
-        assert (await follow(moved)).status == 200
-        assert len(world.told(fl.Ask)) == 2
+        await world.until(lambda: world.module_events(fl.Ended))
+        second_redirect = await ask(back_port, f"{back}vod/lo/8.m4s")
+        assert second_redirect.status == 307
+        assert second_redirect.headers["location"] != redirect.headers["location"]
+        assert (await follow(second_redirect)).status == 200
+        assert len(world.module_events(fl.Ask)) == 2
 
     run(tmp_path, test)
 
 
-def test_the_way_back_of_a_paid_session_whose_box_died_sets_nothing_up_again(tmp_path: Path) -> None:
+def test_the_back_url_of_a_paid_session_whose_box_died_sets_nothing_up_again(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         shown = await world.manifest(world.token("a", "graded"))
         back_port, back = back_of(shown)
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         box.die()
-        await world.until(lambda: world.told(fl.Ended))
+        await world.until(lambda: world.module_events(fl.Ended))
         assert (await ask(back_port, f"{back}vod/lo/8.m4s")).status == 410
         assert world.set_ups("a") == 1
 
     run(tmp_path, test)
 
 
-def test_the_way_back_carries_no_token_that_came_in_a_header(tmp_path: Path) -> None:
+def test_the_back_url_has_no_token_that_came_in_a_header(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a")
         bearer = f"authorization: Bearer {token}\r\n"
@@ -212,7 +217,7 @@
     run(tmp_path, test)
 
 
-def test_the_way_back_leads_nowhere_else(tmp_path: Path) -> None:
+def test_the_back_url_rejects_other_paths_titles_and_methods(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a")
         assert (await world.manifest(token)).status == 200
@@ -233,53 +238,53 @@
     run(tmp_path, test)
 
 
-# ---- Sessions let go in a pause ---------------------------------------------------------------------------
-async def paused(world: World, token: str) -> Reply:
-    """Start, take a segment, pause until the box lets the place go."""
+# ---- Paused sessions --------------------------------------------------------------------------------------
+async def start_and_pause(world: World, token: str) -> Reply:
+    """Start, load a segment, then pause until the box ends or parks the session."""
     shown = await world.manifest(token)
     assert shown.status == 200
     port, base = base_of(shown)
     assert (await ask(port, f"{base}vod/lo/1.m4s")).status == 200
     for box in world.fleet.boxes.values():
         box.idle_s = 0.2
-    await world.until(lambda: world.told(fl.Ended))
+    await world.until(lambda: world.module_events(fl.Ended))
     for box in world.fleet.boxes.values():
         box.idle_s = 30.0
     return shown
 
 
-def test_a_paid_session_let_go_in_a_pause_is_taken_up_again_and_never_set_up_twice(tmp_path: Path) -> None:
+def test_a_paid_session_parked_in_a_pause_is_resumed_and_never_set_up_twice(tmp_path: Path) -> None:
     disk = MemoryFiles()
 
     async def test(world: World) -> None:
         token = world.token("a", "graded")
-        shown = await paused(world, token)
-        assert world.sessions() == []  # place and rate are free
+        shown = await start_and_pause(world, token)
+        assert world.sessions() == []  # its place and rate are free again
         port, base = base_of(shown)
         assert (await ask(port, f"{base}vod/lo/2.m4s")).status == 410
         back_port, back = back_of(shown)
-        sent = await ask(back_port, f"{back}vod/lo/2.m4s")
-        assert sent.status == 307
-        assert sent.headers["location"] == f"http://127.0.0.1:{port}{base}vod/lo/2.m4s"
-        assert (await follow(sent)).status == 200
+        redirect = await ask(back_port, f"{back}vod/lo/2.m4s")
+        assert redirect.status == 307
+        assert redirect.headers["location"] == f"http://127.0.0.1:{port}{base}vod/lo/2.m4s"
+        assert (await follow(redirect)).status == 200
         again = await world.manifest(token)
         assert base_of(again) == (port, base)
         assert world.set_ups("a") == 1
-        assert len(world.told(fl.Ask)) == len(world.told(fl.Started)) == 2
+        assert len(world.module_events(fl.Ask)) == len(world.module_events(fl.Started)) == 2
         account = world.director.journal.book.account
         assert [use.attempts for line, use in account.lines.items() if line.rung < 0] == [1]
         assert len(account.open) == 1
         assert world.director.intent_log is not None
-        kept = world.new_director(files=MemoryFiles(disk.data)).intent_log.recovered["a"]
-        assert kept.outcome is IntentOutcome.STARTED
+        intent = world.new_director(files=MemoryFiles(disk.data)).intent_log.recovered["a"]
+        assert intent.outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=disk)
 
 
-def test_a_free_session_let_go_in_a_pause_is_set_up_anew(tmp_path: Path) -> None:
+def test_a_free_session_ended_in_a_pause_is_set_up_anew(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a")
-        shown = await paused(world, token)
+        shown = await start_and_pause(world, token)
         back_port, back = back_of(shown)
         assert (await ask(back_port, f"{back}vod/lo/2.m4s")).status == 307
         assert world.set_ups("a") == 2
@@ -287,7 +292,7 @@
     run(tmp_path, test)
 
 
-def test_many_pauses_are_one_attempt(tmp_path: Path) -> None:
+def test_a_session_with_many_pauses_counts_as_one_attempt(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
         for k in range(4):
@@ -295,7 +300,7 @@
             assert shown.status == 200
             for box in world.fleet.boxes.values():
                 box.idle_s = 0.1
-            await world.until(lambda k=k: len(world.told(fl.Ended)) > k)  # type: ignore[misc]
+            await world.until(lambda k=k: len(world.module_events(fl.Ended)) > k)  # type: ignore[misc]
             for box in world.fleet.boxes.values():
                 box.idle_s = 30.0
         assert world.set_ups("a") == 1
@@ -303,10 +308,10 @@
     run(tmp_path, test)
 
 
-def test_a_token_that_expires_in_the_pause_still_takes_its_session_up(tmp_path: Path) -> None:
+def test_a_token_that_expires_in_a_pause_still_resumes_its_session(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded", expires=int(time.time()) + 1)
-        await paused(world, token)
+        await start_and_pause(world, token)
         await asyncio.sleep(3.2)
         assert (await world.manifest(token)).status == 200
         assert world.set_ups("a") == 1
@@ -314,15 +319,17 @@
     run(tmp_path, test)
 
 
-@pytest.mark.parametrize("how", ["the box forgot it", "the box died", "too late"])
-def test_a_pause_that_cannot_be_ended_is_told_as_over_and_sets_nothing_up(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("cause", ["the box forgot it", "the box died", "too late"])
+def test_a_parked_session_that_cannot_be_resumed_gets_410_and_no_new_set_up(
+    tmp_path: Path, cause: str
+) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
-        await paused(world, token)
+        await start_and_pause(world, token)
         (box,) = [b for b in world.fleet.boxes.values() if b.model.parked]
-        if how == "the box forgot it":
+        if cause == "the box forgot it":
             box.model.parked.clear()
-        elif how == "the box died":
+        elif cause == "the box died":
             box.die()
             await box.start(cold=False)
         else:
@@ -333,14 +340,16 @@
         assert world.director.core.sessions == {} and world.director.core.attempts.live == 0
         assert all(claim.place is None for claim in world.director.core.claims._by_token.values())
 
-    edit = "(boxes (lost-after-ms 400) => (boxes (lost-after-ms 400) (park-s 1)" if how == "too late" else ""
+    edit = (
+        "(boxes (lost-after-ms 400) => (boxes (lost-after-ms 400) (park-s 1)" if cause == "too late" else ""
+    )
     run(tmp_path, test, edit=edit)
 
 
-def test_a_lost_answer_to_taking_up_spends_nothing(tmp_path: Path) -> None:
+def test_after_a_lost_response_to_a_resume_the_session_can_still_be_resumed(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
-        await paused(world, token)
+        await start_and_pause(world, token)
         (box,) = [b for b in world.fleet.boxes.values() if b.model.parked]
         box.command("hang", True)
         assert (await world.manifest(token)).status == 504
@@ -352,17 +361,17 @@
     run(tmp_path, test)
 
 
-def test_a_full_box_refuses_to_take_up_with_a_time_to_come_back(tmp_path: Path) -> None:
+def test_a_full_box_refuses_a_resume_with_a_retry_time(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
-        await paused(world, token)
+        await start_and_pause(world, token)
         (box,) = [b for b in world.fleet.boxes.values() if b.model.parked]
         box.model.places = 0
         refused = await world.manifest(token)
         assert refused.status == 503
         assert refused.headers["retry-after"]
         box.model.places = 30
-        # the module leaves a box that said it was full alone for a while
+        # the module avoids a box for a while after it reported full
         replies = [await world.manifest(token)]
         while replies[-1].status == 503 and len(replies) < 40:
             await asyncio.sleep(0.2)
@@ -373,10 +382,10 @@
     run(tmp_path, test)
 
 
-def test_two_tabs_that_end_a_pause_at_once_take_it_up_once(tmp_path: Path) -> None:
+def test_requests_that_end_a_pause_at_once_resume_the_session_once(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         token = world.token("a", "graded")
-        await paused(world, token)
+        await start_and_pause(world, token)
         replies = await asyncio.gather(*(world.manifest(token) for _ in range(5)))
         assert {reply.status for reply in replies} == {200}
         assert world.director.counters.total("taken up again") == 1
@@ -385,7 +394,7 @@
     run(tmp_path, test)
 
 
-def test_a_page_reload_in_the_middle_of_a_set_up_joins_it(tmp_path: Path) -> None:
+def test_a_page_reload_during_a_set_up_joins_it(tmp_path: Path) -> None:
     async def test(world: World) -> None:
         for box in world.fleet.boxes.values():
             box.model.set_up_s = 0.2
@@ -395,7 +404,7 @@
         await world.until(lambda: world.director.commands.set_ups)
         again = asyncio.ensure_future(world.manifest(token))
         await asyncio.sleep(0.02)
-        writer.close()  # the page that asked first is gone; the second one waits on
+        writer.close()  # the page that requested first has left; the second one still waits
         assert (await again).status == 200
         assert world.set_ups("a") == 1
         assert await reader.read() == b""
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on both sides: limits on what a peer may cost, order of answers, and what a failure proves."""
+"""HTTP server and client: limits for a peer, order of responses, and whether a failed call was sent."""
 
 from __future__ import annotations
 
@@ -34,39 +34,39 @@
 )
 
 
-class Door:
-    """A server that keeps its exchanges for the test to answer."""
+class ManualServer:
+    """A server that keeps its exchanges, so that the test can respond to them."""
 
-    def __init__(self, limits: Limits = SMALL, answer: bool = True) -> None:
+    def __init__(self, limits: Limits = SMALL, responds: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
-        self.answer = answer
-        self.held: list[Exchange] = []
-        self.gone = 0
-        self.server = Server(self.loop, self.asked, limits)
+        self.responds = responds
+        self.exchanges: list[Exchange] = []
+        self.disconnects = 0
+        self.server = Server(self.loop, self.handle, limits)
 
     async def listen(self) -> int:
         return await self.server.listen("127.0.0.1", 0)
 
-    def asked(self, exchange: Exchange) -> None:
-        self.held.append(exchange)
-        exchange.on_disconnect = self.left
-        if self.answer:
+    def handle(self, exchange: Exchange) -> None:
+        self.exchanges.append(exchange)
+        exchange.on_disconnect = self.disconnected
+        if self.responds:
             exchange.reply(200, (("x-path", exchange.request.path),), exchange.request.body or b"hello")
 
-    def left(self) -> None:
-        self.gone += 1
+    def disconnected(self) -> None:
+        self.disconnects += 1
 
 
-def with_door(
-    test: Callable[[Door, int], Awaitable[None]], limits: Limits = SMALL, answer: bool = True
+def with_server(
+    test: Callable[[ManualServer, int], Awaitable[None]], limits: Limits = SMALL, responds: bool = True
 ) -> None:
     async def main() -> None:
-        door = Door(limits, answer)
-        port = await door.listen()
+        fixture = ManualServer(limits, responds)
+        port = await fixture.listen()
         try:
-            await test(door, port)
+            await test(fixture, port)
         finally:
-            await door.server.stop(50.0)
+            await fixture.server.stop(50.0)
 
     uvloop.run(main())
 
@@ -99,18 +99,18 @@
         (b"PUT / HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\nabc", 408),
     ],
 )
-def test_what_costs_too_much_or_cannot_be_read_is_told_and_cut_off(data: bytes, status: int) -> None:
-    async def test(door: Door, port: int) -> None:
+def test_oversized_and_malformed_requests_get_an_error_and_are_disconnected(data: bytes, status: int) -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         reply = parse(await raw(port, data))
         assert reply.status == status
         assert reply.headers["content-type"] == "application/problem+json"
         assert (await ask(port, "/after")).status == 200
 
-    with_door(test)
+    with_server(test)
 
 
-def test_a_drip_of_bytes_does_not_hold_a_connection_beyond_its_time() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_a_request_sent_byte_by_byte_is_ended_by_the_header_time_out() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
 
         async def drip() -> None:
@@ -124,17 +124,17 @@
         dripping.cancel()
         writer.close()
 
-    with_door(test)
+    with_server(test)
 
 
-def test_pipelined_requests_are_answered_in_their_order_whatever_is_ready_first() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_pipelined_responses_keep_the_order_of_their_requests() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"".join(b"GET /%d HTTP/1.1\r\nhost: x\r\n\r\n" % k for k in range(3)))
-        while len(door.held) < 3:
+        while len(fixture.exchanges) < 3:
             await asyncio.sleep(0.005)
         for k in (2, 0, 1):
-            door.held[k].reply(200, (), b"%d" % k)
+            fixture.exchanges[k].reply(200, (), b"%d" % k)
         data = b""
         while data.count(b"HTTP/1.1 200") < 3:
             data += await reader.read(1000)
@@ -145,62 +145,62 @@
         ]
         writer.close()
 
-    with_door(test, answer=False)
+    with_server(test, responds=False)
 
 
-def test_too_many_pipelined_requests_are_told_so() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_too_many_pipelined_requests_get_429() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         asked = asyncio.ensure_future(raw(port, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n" * 10))
-        while len(door.held) < 3:
+        while len(fixture.exchanges) < 3:
             await asyncio.sleep(0.005)
-        for exchange in list(door.held):
+        for exchange in list(fixture.exchanges):
             exchange.reply(200)
         data = await asked
         assert data.count(b"HTTP/1.1 200") == 3
         assert data.count(b"HTTP/1.1 429") == 1
-        assert len(door.held) == 3
+        assert len(fixture.exchanges) == 3
 
-    with_door(test, answer=False)
+    with_server(test, responds=False)
 
 
-def test_connections_over_the_limit_are_told_when_to_come_back() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_connections_over_the_limit_get_503_with_retry_after() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(20)]
         reply = parse(await raw(port, b""))
         assert (reply.status, reply.headers["retry-after"]) == (503, "1")
         for _, writer in idle:
             writer.close()
 
-    with_door(test)
+    with_server(test)
 
 
-def test_a_client_that_leaves_is_told_of_once_and_only_before_its_answer() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_a_disconnect_before_the_response_is_reported_once() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
-        while not door.held:
+        while not fixture.exchanges:
             await asyncio.sleep(0.005)
         writer.close()
-        while not door.gone:
+        while not fixture.disconnects:
             await asyncio.sleep(0.005)
-        door.held[0].reply(200, (), b"to nobody")
+        fixture.exchanges[0].reply(200, (), b"to nobody")
         with pytest.raises(RuntimeError):
-            door.held[0].reply(200)
-        door.answer = True
+            fixture.exchanges[0].reply(200)
+        fixture.responds = True
         assert (await ask(port, "/")).status == 200
         await asyncio.sleep(0.02)
-        assert door.gone == 1
+        assert fixture.disconnects == 1
 
-    with_door(test, answer=False)
+    with_server(test, responds=False)
 
 
-def test_a_peer_that_does_not_read_stops_being_read_and_the_writer_hears_when_it_does() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_a_stream_to_a_slow_reader_pauses_and_reports_when_it_drains() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1000)
         writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
-        while not door.held:
+        while not fixture.exchanges:
             await asyncio.sleep(0.005)
-        stream: ResponseStream = door.held[0].start_stream(200)
+        stream: ResponseStream = fixture.exchanges[0].start_stream(200)
         drained: list[bool] = []
         stream.on_drain = lambda: drained.append(True)
         written = 0
@@ -212,32 +212,32 @@
             await reader.read(65536)
         writer.close()
 
-    with_door(test, answer=False)
+    with_server(test, responds=False)
 
 
-def test_a_stop_answers_what_is_owed_and_closes_the_rest() -> None:
-    async def test(door: Door, port: int) -> None:
+def test_a_stop_sends_pending_responses_and_closes_idle_connections() -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         idle_reader, _ = await asyncio.open_connection("127.0.0.1", port)
         asked = asyncio.ensure_future(ask(port, "/"))
-        while not door.held:
+        while not fixture.exchanges:
             await asyncio.sleep(0.005)
-        stop = asyncio.ensure_future(door.server.stop(1000.0))
+        stop = asyncio.ensure_future(fixture.server.stop(1000.0))
         assert await idle_reader.read() == b""
-        door.held[0].reply(200, (), b"owed")
-        assert (await asked).body == b"owed"
+        fixture.exchanges[0].reply(200, (), b"pending")
+        assert (await asked).body == b"pending"
         await stop
 
-    with_door(test, answer=False)
+    with_server(test, responds=False)
 
 
 @given(st.lists(st.binary(max_size=80), max_size=6), st.booleans())
 @settings(max_examples=60, deadline=None)
-def test_any_bytes_cost_only_their_own_connection(pieces: list[bytes], ask_first: bool) -> None:
-    async def test(door: Door, port: int) -> None:
+def test_invalid_bytes_affect_only_their_own_connection(pieces: list[bytes], ask_first: bool) -> None:
+    async def test(fixture: ManualServer, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         if ask_first:
             writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n")
-        with contextlib.suppress(RuntimeError):  # the door may have closed it by now
+        with contextlib.suppress(RuntimeError):  # the server may have closed it already
             for piece in pieces:
                 writer.write(piece)
                 await asyncio.sleep(0)
@@ -247,15 +247,15 @@
         with contextlib.suppress(ConnectionError):
             await reader.read()
 
-    with_door(test)
+    with_server(test)
 
 
 # ---- Client -----------------------------------------------------------------------------------------------
 LIMITS = PoolLimits(connect_ms=300.0, max_connections=1, idle_ms=100.0, max_response_bytes=1000)
 
 
-class Asker:
-    """A pool against a peer that does what the test says."""
+class Client:
+    """A client pool connected to a peer that the test scripts."""
 
     def __init__(self, port: int, limits: PoolLimits = LIMITS) -> None:
         self.pool = Pool(asyncio.get_running_loop(), "127.0.0.1", port, limits)
@@ -269,21 +269,21 @@
 Peer = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def with_peer(peer: Peer, test: Callable[[Asker, int], Awaitable[None]]) -> None:
+def with_peer(peer: Peer, test: Callable[[Client, int], Awaitable[None]]) -> None:
     async def main() -> None:
         server = await asyncio.start_server(peer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        asker = Asker(port)
+        client = Client(port)
         try:
-            await test(asker, port)
+            await test(client, port)
         finally:
-            asker.pool.close()
+            client.pool.close()
             server.close()
 
     uvloop.run(main())
 
 
-def says(data: bytes, close: bool = True, wait: float = 0.0) -> Peer:
+def responds_with(data: bytes, close: bool = True, wait: float = 0.0) -> Peer:
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
@@ -307,47 +307,45 @@
         (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 20_000 + b"\r\n\r\n", FailureKind.TOO_LARGE),
     ],
 )
-def test_an_answer_that_cannot_be_used_is_a_failure_after_the_call_left(
-    data: bytes, kind: FailureKind
-) -> None:
-    async def test(asker: Asker, _: int) -> None:
-        found = await asker.ask()
+def test_an_unusable_response_is_a_failure_of_a_sent_call(data: bytes, kind: FailureKind) -> None:
+    async def test(client: Client, _: int) -> None:
+        found = await client.ask()
         assert isinstance(found, Failure)
         assert (found.kind, found.sent) == (kind, True)
 
-    with_peer(says(data), test)
+    with_peer(responds_with(data), test)
 
 
-def test_what_never_had_a_connection_never_left() -> None:
-    async def test(asker: Asker, _: int) -> None:
-        blocked = asyncio.ensure_future(asker.ask(400.0))
+def test_a_call_that_never_had_a_connection_counts_as_not_sent() -> None:
+    async def test(client: Client, _: int) -> None:
+        blocked = asyncio.ensure_future(client.ask(400.0))
         await asyncio.sleep(0.05)
-        waiting = await asker.ask(100.0)  # the pool's one connection is taken
+        waiting = await client.ask(100.0)  # the pool's one connection is taken
         assert waiting == Failure(FailureKind.TIMEOUT, sent=False)
         assert await blocked == Failure(FailureKind.TIMEOUT, sent=True)
-        refused = await Asker(1).ask()
+        refused = await Client(1).ask()
         assert isinstance(refused, Failure)
         assert (refused.kind, refused.sent) == (FailureKind.CONNECT, False)
 
-    with_peer(says(b"", wait=5.0), test)
+    with_peer(responds_with(b"", wait=5.0), test)
 
 
-def test_a_call_that_is_called_off_tells_whether_it_had_left_and_spoils_no_other() -> None:
-    async def test(asker: Asker, _: int) -> None:
-        first = asyncio.ensure_future(asker.ask())
+def test_a_cancelled_call_reports_whether_it_was_sent_and_does_not_affect_the_next() -> None:
+    async def test(client: Client, _: int) -> None:
+        first = asyncio.ensure_future(client.ask())
         await asyncio.sleep(0.05)
-        asker.call.cancel()
-        asker.call.cancel()
+        client.call.cancel()
+        client.call.cancel()
         assert await first == Failure(FailureKind.CANCELLED, sent=True)
-        # the peer answers the first only now; the second must not take that for its own
-        second = await asker.ask()
+        # the peer responds to the first only now; the second must not take that response for its own
+        second = await client.ask()
         assert isinstance(second, Response)
         assert second.body == b"ok"
 
-    with_peer(says(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", wait=0.1), test)
+    with_peer(responds_with(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", wait=0.1), test)
 
 
-def test_an_unasked_answer_on_an_idle_connection_is_never_taken_for_the_next_calls() -> None:
+def test_an_unexpected_response_on_an_idle_connection_is_not_taken_for_the_next_call() -> None:
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
@@ -356,9 +354,9 @@
                 await asyncio.sleep(0.02)
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray")
 
-    async def test(asker: Asker, _: int) -> None:
+    async def test(client: Client, _: int) -> None:
         for _ in range(3):
-            found = await asker.ask()
+            found = await client.ask()
             assert isinstance(found, Response)
             assert found.body == b"mine"
             await asyncio.sleep(0.05)
@@ -366,7 +364,7 @@
     with_peer(peer, test)
 
 
-def test_a_connection_left_idle_too_long_is_not_used_again() -> None:
+def test_a_connection_idle_for_too_long_is_not_reused() -> None:
     connections = 0
 
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -377,12 +375,12 @@
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
 
-    async def test(asker: Asker, _: int) -> None:
-        await asker.ask()
-        await asker.ask()
+    async def test(client: Client, _: int) -> None:
+        await client.ask()
+        await client.ask()
         assert connections == 1
         await asyncio.sleep(0.15)
-        await asker.ask()
+        await client.ask()
         assert connections == 2
 
     with_peer(peer, test)
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -347,9 +347,9 @@
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             token = world.token("left", "graded")
             writer.write(f"GET /dash/t1/manifest.mpd?token={token} HTTP/1.1\r\nhost: x\r\n\r\n".encode())
-            await world.until(lambda: len(world.told(fl.Ask)) == 4)
+            await world.until(lambda: len(world.module_events(fl.Ask)) == 4)
             writer.close()
-            await world.until(lambda: world.told(fl.Withdrawn))
+            await world.until(lambda: world.module_events(fl.Withdrawn))
             for box in world.fleet.boxes:
                 world.fleet.command("hang", box, False)
         if kind is fl.Ask:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The log's format and the record of paid set-ups: what is cut, torn or damaged, and disks that fail."""
+"""The log formats and the intent log: truncated, torn and damaged files, and disk errors."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     ENDS.append(ENDS[-1] + 16 + len(_payload))
 
 
-def test_a_log_cut_at_any_byte_holds_every_record_before_the_cut_and_no_part_of_one() -> None:
+def test_a_log_truncated_at_any_byte_keeps_exactly_the_whole_records() -> None:
     for cut in range(len(LOG) + 1):
         reader = LogReader("log", LOG[:cut])
         whole = sum(1 for end in ENDS[1:] if end <= cut)
@@ -40,7 +40,7 @@
         assert reader.valid_bytes + reader.torn_bytes == cut
 
 
-def test_every_byte_flipped_is_found() -> None:
+def test_a_flipped_bit_in_any_byte_is_detected() -> None:
     for at in range(len(LOG)):
         damaged = bytearray(LOG)
         damaged[at] ^= 0x40
@@ -49,12 +49,12 @@
         except LogError as error:
             assert str(error).startswith("log: ")
         else:
-            # damage in the last record looks like a torn tail: that one is not taken, the others are
+            # damage in the last record looks like a torn tail: that record is dropped, the others are read
             assert at >= ENDS[-2]
             assert found == PAYLOADS[:-1]
 
 
-def test_another_programs_file_and_a_newer_format_are_refused() -> None:
+def test_foreign_files_newer_formats_and_too_large_records_are_rejected() -> None:
     with pytest.raises(LogError, match="not a log of this program"):
         LogReader("log", b"SQLite format 3\0" + b"\0" * 50)
     newer = b"FOXLLOG1" + (9).to_bytes(4, "little")
@@ -62,64 +62,68 @@
 
     with pytest.raises(LogError, match="newer program"):
         LogReader("log", newer + int(google_crc32c.value(newer)).to_bytes(4, "little"))
-    with pytest.raises(LogError, match=r"record too large: 2097152 bytes, at most 1048576"):
+    with pytest.raises(LogError, match=r"record too large: 2097152 bytes; 1048576 are allowed"):
         encode_frame(1, b"y" * (1 << 21))
 
 
-def book(files: MemoryFiles, now: float = 0.0) -> IntentLog:
+def open_intent_log(files: MemoryFiles, now: float = 0.0) -> IntentLog:
     return IntentLog(files, now)
 
 
-def intend(made: IntentLog, token: str, expires: int = 100) -> list[OSError | None]:
-    told: list[OSError | None] = []
-    made.record_intent(Intent(token, expires, "b1", f"d-{token}-0"), told.append)
-    return told
+def record_intent(intent_log: IntentLog, token: str, expires: int = 100) -> list[OSError | None]:
+    results: list[OSError | None] = []
+    intent_log.record_intent(Intent(token, expires, "b1", f"d-{token}-0"), results.append)
+    return results
 
 
 def test_an_intent_without_outcome_may_have_run() -> None:
     files = MemoryFiles()
-    made = book(files)
-    assert intend(made, "a") == [None]
-    assert intend(made, "b") == [None]
-    assert intend(made, "c") == [None]
-    made.record_outcome("b", IntentOutcome.NEVER_RAN)
-    made.record_outcome("c", IntentOutcome.STARTED)
-    again = book(files)
-    assert {t: k.outcome for t, k in again.recovered.items()} == {
+    intent_log = open_intent_log(files)
+    assert record_intent(intent_log, "a") == [None]
+    assert record_intent(intent_log, "b") == [None]
+    assert record_intent(intent_log, "c") == [None]
+    intent_log.record_outcome("b", IntentOutcome.NEVER_RAN)
+    intent_log.record_outcome("c", IntentOutcome.STARTED)
+    reopened = open_intent_log(files)
+    assert {t: k.outcome for t, k in reopened.recovered.items()} == {
         "a": IntentOutcome.MAY_HAVE_RUN,
         "c": IntentOutcome.STARTED,
     }
-    assert again.recovered["a"].box == "b1"
-    # written anew at the start, it reads the same
-    assert book(files).recovered == again.recovered
+    assert reopened.recovered["a"].box == "b1"
+    # the log rewritten at the start reads the same
+    assert open_intent_log(files).recovered == reopened.recovered
 
 
-def test_what_has_expired_is_forgotten() -> None:
+def test_expired_intents_are_dropped_at_a_restart() -> None:
     files = MemoryFiles()
-    intend(book(files), "a", expires=100)
-    assert set(book(files, 99.0).recovered) == {"a"}
-    assert set(book(files, 100.0).recovered) == set()
-    assert set(book(files, 0.0).recovered) == set()
+    record_intent(open_intent_log(files), "a", expires=100)
+    assert set(open_intent_log(files, 99.0).recovered) == {"a"}
+    assert set(open_intent_log(files, 100.0).recovered) == set()
+    assert set(open_intent_log(files, 0.0).recovered) == set()
 
 
-def test_a_record_cut_at_any_byte_keeps_every_acknowledged_intent() -> None:
+def test_an_intent_log_truncated_at_any_byte_keeps_every_acknowledged_intent() -> None:
     files = MemoryFiles()
-    made = book(files)
+    intent_log = open_intent_log(files)
     sizes = {}
     for token in "abc":
-        intend(made, token)
+        record_intent(intent_log, token)
         sizes[token] = len(files.data["intents.log"])
     data = files.data["intents.log"]
     for cut in range(len(data) + 1):
-        again = book(MemoryFiles({"intents.log": data[:cut]}))
-        assert set(again.recovered) == {token for token, size in sizes.items() if size <= cut}
+        reopened = open_intent_log(MemoryFiles({"intents.log": data[:cut]}))
+        assert set(reopened.recovered) == {token for token, size in sizes.items() if size <= cut}
 
 
-def test_intents_gather_while_a_sync_runs_and_nothing_is_told_before_it_lasts() -> None:
+def test_intents_are_grouped_during_a_sync_and_acknowledged_only_when_durable() -> None:
     files = MemoryFiles()
-    made = book(files)
+    intent_log = open_intent_log(files)
     files.hold = True
-    first, second, third = intend(made, "a"), intend(made, "b"), intend(made, "c")
+    first, second, third = (
+        record_intent(intent_log, "a"),
+        record_intent(intent_log, "b"),
+        record_intent(intent_log, "c"),
+    )
     assert (first, second, third) == ([], [], [])
     assert len(files.held) == 1
     files.release()
@@ -128,32 +132,32 @@
     assert (second, third) == ([None], [None])
 
 
-def test_a_disk_that_failed_is_not_trusted_again() -> None:
+def test_after_a_disk_error_the_intent_log_stays_failed() -> None:
     files = MemoryFiles()
-    made = book(files)
+    intent_log = open_intent_log(files)
     files.broken = True
-    told = intend(made, "a")
-    assert [type(error) for error in told] == [OSError]
-    assert made.failed is not None
+    results = record_intent(intent_log, "a")
+    assert [type(error) for error in results] == [OSError]
+    assert intent_log.failed is not None
 
 
 @given(st.binary(max_size=120))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_read_or_rejected(data: bytes) -> None:
     try:
-        made = book(MemoryFiles({"intents.log": data}))
+        intent_log = open_intent_log(MemoryFiles({"intents.log": data}))
     except LogError:
         return
-    assert made.recovered == {}
+    assert intent_log.recovered == {}
 
 
-def test_a_real_file_lasts_and_its_first_failure_is_its_last(tmp_path: Path) -> None:
+def test_a_real_file_is_durable_and_writes_nothing_after_a_failure(tmp_path: Path) -> None:
     async def main() -> None:
         files = DiskFiles(tmp_path / "state", asyncio.get_running_loop())
-        made = IntentLog(files, 0.0)
+        intent_log = IntentLog(files, 0.0)
         done = asyncio.get_running_loop().create_future()
-        made.record_intent(Intent("a", 100, "b1", "d-1-0"), done.set_result)
+        intent_log.record_intent(Intent("a", 100, "b1", "d-1-0"), done.set_result)
         assert await done is None
-        made.close()
+        intent_log.close()
         assert set(IntentLog(files, 0.0).recovered) == {"a"}
         file = files.open_append("other")
         file.close()
@@ -168,7 +172,7 @@
     asyncio.run(main())
 
 
-def test_a_file_is_replaced_whole_or_not_at_all(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_is_replaced_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         files = DiskFiles(tmp_path, asyncio.get_running_loop())
         files.replace("list", b"old")
@@ -185,12 +189,12 @@
     asyncio.run(main())
 
 
-# ---- The log in segments ----------------------------------------------------------------------------------
+# ---- Segmented log ----------------------------------------------------------------------------------------
 def entries(files: MemoryFiles, after: int = 0) -> list[tuple[int, bytes]]:
     return [(entry.sequence, entry.payload) for entry in read_log(files, "l", after)]
 
 
-def test_a_log_goes_on_over_segments_and_restarts() -> None:
+def test_a_log_continues_across_segments_and_restarts() -> None:
     files = MemoryFiles()
     for begin in (1, 11, 21):
         log = SegmentedLog(files, "l", segment_bytes=120)
@@ -204,7 +208,7 @@
     assert entries(files, 17) == [(k, b"record %d" % k) for k in range(18, 31)]
 
 
-def test_the_last_segment_cut_at_any_byte_keeps_what_was_acknowledged_and_goes_on() -> None:
+def test_a_last_segment_truncated_at_any_byte_keeps_its_whole_records_and_continues() -> None:
     files = MemoryFiles()
     log, ends = SegmentedLog(files, "l", segment_bytes=100), {}
     for k in range(1, 9):
@@ -215,13 +219,13 @@
         damaged = MemoryFiles(files.data)
         damaged.data[last] = damaged.data[last][:cut]
         kept = [k for k, (name, end) in ends.items() if name != last or end <= cut]
-        again = SegmentedLog(damaged, "l", segment_bytes=100)
-        assert again.last_sequence == len(kept)
-        again.append(b"more")
+        reopened = SegmentedLog(damaged, "l", segment_bytes=100)
+        assert reopened.last_sequence == len(kept)
+        reopened.append(b"more")
         assert entries(damaged) == [(k, b"record %d" % k) for k in kept] + [(len(kept) + 1, b"more")]
 
 
-def test_a_segment_lost_or_cut_with_others_behind_it_is_reported() -> None:
+def test_a_missing_or_truncated_segment_before_others_is_reported() -> None:
     files = MemoryFiles()
     log = SegmentedLog(files, "l", segment_bytes=60)
     for k in range(9):
@@ -235,20 +239,20 @@
         entries(cut)
 
 
-def test_appends_wait_for_the_sync_before_and_fail_together_after_a_failure() -> None:
+def test_appends_wait_for_the_running_sync_and_all_fail_after_an_error() -> None:
     files = MemoryFiles()
     log = SegmentedLog(files, "l")
-    told: list[tuple[int, bool]] = []
+    results: list[tuple[int, bool]] = []
     files.hold = True
     for k in range(4):
-        log.append(b"%d" % k, lambda error, k=k: told.append((k, error is None)))  # type: ignore[misc]
-    assert (told, len(files.held), log.durable) == ([], 1, 0)
+        log.append(b"%d" % k, lambda error, k=k: results.append((k, error is None)))  # type: ignore[misc]
+    assert (results, len(files.held), log.durable) == ([], 1, 0)
     files.release()
-    assert (told, log.durable) == ([(0, True)], 1)
+    assert (results, log.durable) == ([(0, True)], 1)
     files.broken = True
     files.release()
-    assert told == [(0, True), (1, False), (2, False), (3, False)]
+    assert results == [(0, True), (1, False), (2, False), (3, False)]
     files.hold = files.broken = False
-    log.append(b"later", lambda error: told.append((9, error is None)))
-    assert told[-1] == (9, False)
+    log.append(b"later", lambda error: results.append((9, error is None)))
+    assert results[-1] == (9, False)
     assert entries(files) == [(1, b"0")]
