--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -47,10 +47,10 @@
     """A request without a response so far."""
 
     exchange: Exchange
-    wanted: ManifestRequest
+    manifest_request: ManifestRequest
     expired: bool = False
-    passed: bool = False  # forwarded by another director
-    routed: int = 0  # how often another director or box was searched for it
+    forwarded: bool = False  # forwarded by another director
+    lookups: int = 0  # how often another director or box was searched for it
 
 
 class Answers:
@@ -76,10 +76,15 @@
         self._log = structlog.get_logger().bind(director=config.name)
 
     def add_pending(
-        self, number: int, exchange: Exchange, wanted: ManifestRequest, expired: bool, passed: bool
+        self,
+        number: int,
+        exchange: Exchange,
+        manifest_request: ManifestRequest,
+        expired: bool,
+        forwarded: bool,
     ) -> None:
         """Keep a request until its response or its client's disconnect."""
-        self.pending[number] = PendingRequest(exchange, wanted, expired, passed)
+        self.pending[number] = PendingRequest(exchange, manifest_request, expired, forwarded)
 
     def remove(self, number: int) -> bool:
         """Remove the request of a client that has disconnected; whether it was still pending."""
@@ -100,17 +105,17 @@
         pending = self._take(request)
         if pending is None:
             return "gone"
-        if pending.wanted.rest is not None:
-            self._redirect(pending.exchange, session, pending.wanted.rest)
+        if pending.manifest_request.segment_path is not None:
+            self._redirect(pending.exchange, session, pending.manifest_request.segment_path)
             return "sent back"
-        headers, body = self.manifest(session, pending.wanted.url_token)
-        if not pending.passed:
+        headers, body = self.manifest(session, pending.manifest_request.url_token)
+        if not pending.forwarded:
             pending.exchange.on_raw_request(lambda data: self._cache_reload(data, session, pending.exchange))
         pending.exchange.reply(200, headers, body)
         return "manifests"
 
-    def _redirect(self, exchange: Exchange, session: ev.Session, rest: str) -> None:
-        headers = (("location", self._base(session) + rest), ("cache-control", "no-store"))
+    def _redirect(self, exchange: Exchange, session: ev.Session, segment_path: str) -> None:
+        headers = (("location", self._base(session) + segment_path), ("cache-control", "no-store"))
         # 307 keeps the method (RFC 9110 section 15.4.8); not cached, as the next segment may need another box
         exchange.reply(307, headers)
 
@@ -141,14 +146,16 @@
     def _floor(self, session: ev.Session) -> int:
         return self._config.fleet.classes[session.klass].floor
 
-    def peek(self, exchange: Exchange, wanted: ManifestRequest, session: ev.Session | None) -> None:
+    def reply_to_head(
+        self, exchange: Exchange, manifest_request: ManifestRequest, session: ev.Session | None
+    ) -> None:
         """Respond to HEAD as to GET for a playing session; without one, status 200 and no length."""
         if session is None:
             exchange.start_stream(200, MPD).finish()
-        elif wanted.rest is not None:
-            self._redirect(exchange, session, wanted.rest)
+        elif manifest_request.segment_path is not None:
+            self._redirect(exchange, session, manifest_request.segment_path)
         else:
-            exchange.reply(200, *self.manifest(session, wanted.url_token))
+            exchange.reply(200, *self.manifest(session, manifest_request.url_token))
 
     # ---- Reloads ------------------------------------------------------------------------------------------
     def _cache_reload(self, data: bytes, session: ev.Session, exchange: Exchange) -> None:
--- a/foxlift/director/authorizer.py
+++ b/foxlift/director/authorizer.py
@@ -39,14 +39,14 @@
     """What a request asks for.
 
     `url_token`: the token if it came in the URL, to be put into further URLs; a token from a header never
-    goes into a URL. `rest`: None for a manifest, else the segment's path below the title. `hint`: the
+    goes into a URL. `segment_path`: None for a manifest, else the segment's path below the title. `hint`: the
     session's owner by the URL, may be outdated.
     """
 
     token: SessionToken
     title: Title
     url_token: str
-    rest: str | None
+    segment_path: str | None
     hint: str = ""
 
 
@@ -67,12 +67,15 @@
     def authorize(self, request: Request) -> ManifestRequest:
         """Verify the token and return what the request asks for. Raises HttpProblem."""
         parts = request.path.split("/", 5)
-        rest: str | None = None
+        segment_path: str | None = None
         text = ""
         if len(parts) == 4 and parts[1] == "dash" and parts[3] == "manifest.mpd":
             text = _query_token(request.query)
         elif len(parts) == 6 and parts[1] == "dash" and parts[3] == "back":
-            text, rest = ("" if parts[4] == "-" else unquote(parts[4])), _rest(parts[5], request.query)
+            text, segment_path = (
+                ("" if parts[4] == "-" else unquote(parts[4])),
+                _segment_path(parts[5], request.query),
+            )
         else:
             raise HttpProblem(404, "no such resource")
         if request.method not in ("GET", "HEAD"):
@@ -81,8 +84,8 @@
             )
         bearer = _bearer(request.headers.get("authorization", ""))
         token, title = self._verify(unquote(parts[2]), bearer or text)
-        hint = _hint(request.query) if rest is None and "at=" in request.query else ""
-        return ManifestRequest(token, title, "" if bearer else text, rest, hint)
+        hint = _hint(request.query) if segment_path is None and "at=" in request.query else ""
+        return ManifestRequest(token, title, "" if bearer else text, segment_path, hint)
 
     def _verify(self, name: str, text: str) -> tuple[SessionToken, Title]:
         key = f"{name}\n{text}"
@@ -144,7 +147,7 @@
     return found[0] if len(found) == 1 and len(found[0]) <= MAX_HINT_CHARS else ""
 
 
-def _rest(path: str, query: str) -> str:
+def _segment_path(path: str, query: str) -> str:
     """A segment's path that is safe in a Location header: no `..` parts, printable ASCII only."""
     whole = path + (f"?{query}" if query else "")
     if len(whole) > MAX_SEGMENT_PATH_CHARS or not whole.isascii() or not whole.isprintable() or " " in whole:
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -114,8 +114,8 @@
     def ask_core(self, number: int) -> None:
         """Have the core answer a request that is held."""
 
-    def handle_request(self, exchange: Exchange, passed: bool = False) -> None:
-        """Take in a request; `passed`: from another director."""
+    def handle_request(self, exchange: Exchange, forwarded: bool = False) -> None:
+        """Take in a request; `forwarded`: from another director."""
 
     def superseded(self) -> None:
         """Another process has this director's name: do nothing more."""
@@ -162,7 +162,7 @@
 
     def receive_forwarded(self, exchange: Exchange) -> None:
         """See `Host`."""
-        self.daemon.handle_request(exchange, passed=True)
+        self.daemon.handle_request(exchange, forwarded=True)
 
     def forwardable(self, request: int) -> ForwardableRequest | None:
         """See `Host`."""
@@ -174,7 +174,7 @@
         headers: Headers = ()
         if "authorization" in received.headers:
             headers = (("authorization", received.headers["authorization"]),)
-        return ForwardableRequest(held.wanted.token.id, target, headers, self.waited_ms(request))
+        return ForwardableRequest(held.manifest_request.token.id, target, headers, self.waited_ms(request))
 
     def waited_ms(self, number: int) -> float:
         """Since the request's first byte here, and before it was passed on."""
@@ -182,15 +182,19 @@
         if held is None:
             return 0.0
         request = held.exchange.request
-        before = request.headers.get(WAITED_HEADER, "") if held.passed else ""
+        before = request.headers.get(WAITED_HEADER, "") if held.forwarded else ""
         waited = (self.daemon.loop.time() - request.arrived_s) * 1000
         return max(waited, 0.0) + (float(before) if before.isdigit() and len(before) < 8 else 0.0)
 
     def asked(self, number: int, passed: bool) -> bool:
         """Whether the request's own hint has it looked for elsewhere first."""
         held = self.daemon.answers.pending[number]
-        hinted = self.service.forwarder.read_hint(held.wanted.hint) if held.wanted.hint else None
-        if hinted is None or not self.daemon.core.claims.is_new(held.wanted.token.id):
+        hinted = (
+            self.service.forwarder.read_hint(held.manifest_request.hint)
+            if held.manifest_request.hint
+            else None
+        )
+        if hinted is None or not self.daemon.core.claims.is_new(held.manifest_request.token.id):
             return False
         if hinted.owner == self.daemon.config.name and hinted.run == self.boot_epoch:
             return False
@@ -201,15 +205,15 @@
         """A request whose token is claimed elsewhere."""
         held = self._routed(number)
         if held is not None:
-            self.service.forwarder.resolve(number, claim, forwarded=held.passed)
+            self.service.forwarder.resolve(number, claim, forwarded=held.forwarded)
 
     def _routed(self, number: int) -> PendingRequest | None:
         """A request that is to be looked for elsewhere once more; not for ever."""
         held = self.daemon.answers.pending.get(number)
         if held is None:
             return None
-        held.routed += 1
-        if held.routed > MAX_ROUTINGS:
+        held.lookups += 1
+        if held.lookups > MAX_ROUTINGS:
             self.turn_down(number, Why.FAILED, 0.0)
             return None
         return held
@@ -250,11 +254,13 @@
             self.daemon.ask_core(number)
             return
         if known is None:
-            self.service.forwarder.resolve_own(number, token, held.wanted.token.expires, held.passed)
+            self.service.forwarder.resolve_own(
+                number, token, held.manifest_request.token.expires, held.forwarded
+            )
             return
         run = int(parts, 16) if parts and all(c in "0123456789abcdef" for c in parts) else 0
         claim = Claim(self.daemon.config.name, run, known.box, known.set_up)
-        self.service.forwarder.resolve(number, claim, forwarded=held.passed)
+        self.service.forwarder.resolve(number, claim, forwarded=held.forwarded)
 
     # ---- Commands: `Ownership` ----------------------------------------------------------------------------
     @property
@@ -303,7 +309,7 @@
         """See `Ownership`."""
         return f"&keep={self.boot_epoch}"
 
-    def notice_heard(self, node: int, notice: BoxNotice) -> None:
+    def handle_notice(self, node: int, notice: BoxNotice) -> None:
         """See `Ownership`."""
         if isinstance(notice, OwnershipLost):
             self.service.renew_epoch()
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -76,11 +76,11 @@
         boot_epoch: str,
         secret: Callable[[], str],
         trace: Trace | None = None,
-        make: Callable[[fl.Settings, int], Director] = Director,
+        make_module: Callable[[fl.Settings, int], Director] = Director,
     ) -> None:
         self.config, self.boot_epoch = config, boot_epoch
         self.settings = module_settings(config)
-        self.module = make(self.settings, config.seed)
+        self.module = make_module(self.settings, config.seed)
         self._driver = Driver(self.module, self._carry_out, self._fault, trace)
         self.claims = cl.Claims(config.peers.on)
         self.attempts = at.Attempts(f"{config.name}.{boot_epoch}")
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -75,7 +75,7 @@
         unix_s: float | None = None,
         secret: Callable[[], str] = lambda: secrets.token_urlsafe(12),
         trace: Callable[[float, fl.Event, list[fl.Action]], None] | None = None,
-        make: Callable[[fl.Settings, int], Director] = Director,
+        make_module: Callable[[fl.Settings, int], Director] = Director,
     ) -> None:
         """Reads keys, catalogue, cached box list, ledger and intent log.
 
@@ -97,7 +97,7 @@
         self.cluster = self._make_cluster()
         epoch = int(start_s * 1000) & 0xFFFFFFFFFF if self.cluster is None else self.cluster.boot_epoch
         self._list_client = ListClient(config, loop, self.files, self.feed)
-        self.core = Core(config, self._list_client.cached(), format(epoch, "x"), secret, trace, make)
+        self.core = Core(config, self._list_client.cached(), format(epoch, "x"), secret, trace, make_module)
         self._connect_servers()
         self._make_front()
 
@@ -273,37 +273,37 @@
         self.log.warning("the loop stood still", late_ms=round(late_ms))
 
     # ---- Requests -----------------------------------------------------------------------------------------
-    def handle_request(self, exchange: Exchange, passed: bool = False) -> None:
-        """Handle a request of a viewer; `passed`: another director has forwarded it."""
+    def handle_request(self, exchange: Exchange, forwarded: bool = False) -> None:
+        """Handle a request of a viewer; `forwarded`: another director has forwarded it."""
         request = exchange.request
         try:
-            wanted = self.authorizer.authorize(request)
+            manifest_request = self.authorizer.authorize(request)
         except HttpProblem as problem:
             self.counters.add("turned down", problem.title)
             exchange.reply_problem(problem.status, problem.title, problem.detail, problem.extra)
             return
-        token, expired = wanted.token, False
+        token, expired = manifest_request.token, False
         try:
             token.check_time(self.timeline.unix_s(), self.config.tokens.leeway_s)
         except TokenError:
             expired = True
         if request.method == "HEAD":
             # HEAD starts no session: it shows what a GET would show of one that plays
-            self.answers.peek(exchange, wanted, self.core.playing(token.id))
+            self.answers.reply_to_head(exchange, manifest_request, self.core.playing(token.id))
             return
-        leaving = self.stopping and self.core.claims.is_new(token.id)
-        if leaving and (self.cluster is None or passed):
-            exchange.reply_problem(421 if passed else 503, "stopping", extra=(("retry-after", "1"),))
+        new_while_stopping = self.stopping and self.core.claims.is_new(token.id)
+        if new_while_stopping and (self.cluster is None or forwarded):
+            exchange.reply_problem(421 if forwarded else 503, "stopping", extra=(("retry-after", "1"),))
             return
         self._last_request += 1
         number = self._last_request
-        self.answers.add_pending(number, exchange, wanted, expired, passed)
+        self.answers.add_pending(number, exchange, manifest_request, expired, forwarded)
         exchange.on_disconnect = lambda: self._client_disconnected(number)
-        if leaving and self.cluster is not None:
+        if new_while_stopping and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
                 self.answers.reject(number, Why.UNREACHED)
             return
-        if self.cluster is None or not self.cluster.asked(number, passed):
+        if self.cluster is None or not self.cluster.asked(number, forwarded):
             self.ask_core(number)
 
     def ask_core(self, number: int) -> None:
@@ -316,7 +316,11 @@
             waited_ms = self.cluster.waited_ms(number)
         self.feed(
             events.ManifestRequested(
-                number, pending.wanted.token, pending.wanted.title, pending.expired, waited_ms
+                number,
+                pending.manifest_request.token,
+                pending.manifest_request.title,
+                pending.expired,
+                waited_ms,
             )
         )
 
--- a/foxlift/director/notice_streams.py
+++ b/foxlift/director/notice_streams.py
@@ -81,5 +81,5 @@
             return False
         for notice in notices:
             self._feed(events.NoticeReceived(node, notice))
-            self._ownership.notice_heard(node, notice)
+            self._ownership.handle_notice(node, notice)
         return True
--- a/foxlift/director/ownership.py
+++ b/foxlift/director/ownership.py
@@ -36,7 +36,7 @@
     def stream_query(self) -> str:
         """Additional query parameters of a notice stream."""
 
-    def notice_heard(self, node: int, notice: BoxNotice) -> None:
+    def handle_notice(self, node: int, notice: BoxNotice) -> None:
         """Handle a notice that the core has already handled."""
 
 
@@ -66,5 +66,5 @@
         """See `Ownership`."""
         return ""
 
-    def notice_heard(self, node: int, notice: BoxNotice) -> None:
+    def handle_notice(self, node: int, notice: BoxNotice) -> None:
         """See `Ownership`."""
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -212,7 +212,7 @@
             settings(folder, list_port, edit=edit),
             loop,
             trace=lambda _, event, actions: trace.append((event, actions)),
-            make=make,
+            make_module=make,
             files=files,
         )
         port = await director.start()
