--- a/foxlift/wire.py
+++ b/foxlift/wire.py
@@ -1,4 +1,4 @@
-"""The binary wire: frames and records, driven by the layout tables below. No meaning, no policy."""
+"""Codec of the binary wire: frames and records by the layout tables below. It does not interpret them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 
 Record = tuple[str, dict[str, Any]]
 
-# Formats of a field: a struct letter, or one of
-#   node    4 bytes of address and a u16 port, kept as one whole number, address first
-#   text    u32 or u16 count and UTF-8 bytes     blob    u16 count and bytes
-#   floats  u8 count and f32 values              entries u32 count and list entries
+# Format of a field: a struct letter, "node", or one of the tails, which only a record's last field may have:
+#   node    4 bytes of address and a u16 port, decoded as one whole number with the address in the high bits
+#   text32  u32 count and UTF-8 bytes            text16  u16 count and UTF-8 bytes
+#   blob    u16 count and bytes                  floats  u8 count and f32 values
+#   entries u32 count and node list entries
 NODE = "node"
 _TAILS = {"text32": "<I", "text16": "<H", "blob": "<H", "floats": "<B", "entries": "<I"}
 
 
 class WireError(ValueError):
-    """The input does not follow the wire's form."""
+    """The input does not follow the wire format."""
 
 
 @dataclass(frozen=True)
 class Layout:
-    """One record's name and fields; at most the last field has a variable length."""
+    """Name and fields of one kind of record; only the last field may have a variable length, a tail."""
 
     name: str
     fields: tuple[tuple[str, str], ...]
     fixed: struct.Struct = field(init=False)
     tail: tuple[str, str] | None = field(init=False)
-    names: tuple[tuple[str, bool], ...] = field(init=False)
+    fixed_fields: tuple[tuple[str, bool], ...] = field(init=False)  # name, and whether it is a node
 
     def __post_init__(self) -> None:
         tail = self.fields[-1] if self.fields and self.fields[-1][1] in _TAILS else None
@@ -37,7 +38,7 @@
         form = "<" + "".join("4sH" if kind == NODE else kind for _, kind in body)
         object.__setattr__(self, "fixed", struct.Struct(form))
         object.__setattr__(self, "tail", tail)
-        object.__setattr__(self, "names", tuple((name, kind == NODE) for name, kind in body))
+        object.__setattr__(self, "fixed_fields", tuple((name, kind == NODE) for name, kind in body))
 
 
 def _layout(name: str, fields: str) -> Layout:
@@ -87,91 +88,96 @@
 _REPLY_HEAD = struct.Struct("<II")
 
 
-def _read_fixed(layout: Layout, data: bytes, at: int) -> dict[str, Any]:
-    values = iter(layout.fixed.unpack_from(data, at))
+def _read_fixed(layout: Layout, data: bytes, offset: int) -> dict[str, Any]:
+    values = iter(layout.fixed.unpack_from(data, offset))
     fields: dict[str, Any] = {}
-    for name, is_node in layout.names:
+    for name, is_node in layout.fixed_fields:
         value = next(values)
         fields[name] = int.from_bytes(value, "big") << 16 | next(values) if is_node else value
     return fields
 
 
-def _read_tail(form: str, data: bytes, at: int, end: int, name: str) -> Any:
+def _read_tail(form: str, data: bytes, offset: int, end: int, name: str) -> Any:
     count_form = struct.Struct(_TAILS[form])
-    if end - at < count_form.size:
-        raise WireError(f"{name}: its last field is cut short")
-    (count,) = count_form.unpack_from(data, at)
-    at += count_form.size
+    if end - offset < count_form.size:
+        raise WireError(
+            f"{name}: last field truncated: {end - offset} bytes left for its count, {count_form.size} needed"
+        )
+    (count,) = count_form.unpack_from(data, offset)
+    offset += count_form.size
     width = {"floats": 4, "entries": _ENTRY.fixed.size}.get(form, 1)
-    if end - at != count * width:
-        raise WireError(f"{name}: {end - at} bytes in its last field, {count * width} stated")
+    if end - offset != count * width:
+        raise WireError(f"{name}: {end - offset} bytes in its last field, {count * width} stated")
     if form == "floats":
-        return struct.unpack_from(f"<{count}f", data, at)
+        return struct.unpack_from(f"<{count}f", data, offset)
     if form == "entries":
-        return [_read_fixed(_ENTRY, data, at + k * width) for k in range(count)]
+        return [_read_fixed(_ENTRY, data, offset + k * width) for k in range(count)]
     if form == "blob":
-        return data[at:end]
+        return data[offset:end]
     try:
-        return data[at:end].decode()
+        return data[offset:end].decode()
     except UnicodeDecodeError as error:
         raise WireError(f"{name}: text is not UTF-8") from error
 
 
-def _read_record(layout: Layout, data: bytes, at: int, end: int) -> Record:
+def _read_record(layout: Layout, data: bytes, offset: int, end: int) -> Record:
     size = layout.fixed.size
-    if end - at < size or (layout.tail is None and end - at != size):
-        raise WireError(f"{layout.name}: {end - at} bytes of fields, {size} needed")
-    fields = _read_fixed(layout, data, at)
+    if end - offset < size or (layout.tail is None and end - offset != size):
+        raise WireError(f"{layout.name}: {end - offset} bytes of fields, {size} needed")
+    fields = _read_fixed(layout, data, offset)
     if layout.tail:
-        fields[layout.tail[0]] = _read_tail(layout.tail[1], data, at + size, end, layout.name)
+        fields[layout.tail[0]] = _read_tail(layout.tail[1], data, offset + size, end, layout.name)
     return layout.name, fields
 
 
-def _read_records(table: Mapping[int, Layout], data: bytes, at: int, count: int) -> list[Record]:
+def _read_records(table: Mapping[int, Layout], data: bytes, offset: int, count: int) -> list[Record]:
     records: list[Record] = []
     for _ in range(count):
-        if len(data) - at < _RECORD_HEAD.size:
-            raise WireError("a record's head is cut short")
-        code, size = _RECORD_HEAD.unpack_from(data, at)
-        at += _RECORD_HEAD.size
+        if len(data) - offset < _RECORD_HEAD.size:
+            raise WireError(f"record head truncated: got {len(data) - offset} of {_RECORD_HEAD.size} bytes")
+        code, size = _RECORD_HEAD.unpack_from(data, offset)
+        offset += _RECORD_HEAD.size
         if code not in table:
             raise WireError(f"unknown record code {code}")
-        if len(data) - at < size:
-            raise WireError(f"{table[code].name}: record runs past the end of its frame")
-        records.append(_read_record(table[code], data, at, at + size))
-        at += size
-    if at != len(data):
-        raise WireError(f"{len(data) - at} bytes left over after the last record")
+        if len(data) - offset < size:
+            raise WireError(
+                f"{table[code].name}: record of {size} bytes runs past the end of its frame, "
+                f"{len(data) - offset} bytes left"
+            )
+        records.append(_read_record(table[code], data, offset, offset + size))
+        offset += size
+    if offset != len(data):
+        raise WireError(f"{len(data) - offset} bytes left over after the last record")
     return records
 
 
 def decode_batch(body: bytes) -> tuple[float, list[Record]]:
-    """Read a batch, given all that follows its length field."""
+    """Decode a batch from all that follows its length field: the clock and the events."""
     if len(body) < _BATCH_HEAD.size:
-        raise WireError("a batch's head is cut short")
+        raise WireError(f"batch head truncated: got {len(body)} of {_BATCH_HEAD.size} bytes")
     clock, count = _BATCH_HEAD.unpack_from(body, 0)
     return clock, _read_records(EVENTS, body, _BATCH_HEAD.size, count)
 
 
 def decode_reply(frame: bytes) -> list[Record]:
-    """Read a whole reply frame back into actions."""
+    """Decode a whole reply frame into its actions."""
     if len(frame) < _REPLY_HEAD.size:
-        raise WireError("a reply's head is cut short")
+        raise WireError(f"reply head truncated: got {len(frame)} of {_REPLY_HEAD.size} bytes")
     length, count = _REPLY_HEAD.unpack_from(frame, 0)
     if length != len(frame) - 4:
-        raise WireError("a reply's length field is wrong")
+        raise WireError(f"reply length field is {length}, but {len(frame) - 4} bytes follow it")
     return _read_records(ACTIONS, frame, _REPLY_HEAD.size, count)
 
 
 def encode_reply(actions: Iterable[Record]) -> bytes:
-    """Write actions, in order, as one reply frame."""
+    """Encode actions, in order, as one reply frame."""
     parts: list[bytes] = []
     count = 0
     for name, fields in actions:
         code = _ACTION_CODES[name]
         layout = ACTIONS[code]
         values: list[Any] = []
-        for key, is_node in layout.names:
+        for key, is_node in layout.fixed_fields:
             value = fields[key]
             values += [(value >> 16).to_bytes(4, "big"), value & 0xFFFF] if is_node else [value]
         body = layout.fixed.pack(*values)
--- a/foxlift/wiresettings.py
+++ b/foxlift/wiresettings.py
@@ -1,7 +1,7 @@
-"""The settings of the operators' bench and platform, by dotted paths, turned into the module's Settings.
+"""Converts the settings of the operators' bench and of the platform to the module's Settings.
 
-The bench's wire sends them as text, one path=value to a line; the platform's configuration holds the same
-object as nested JSON. Both become the same paths here, so that one reader serves both.
+The bench's wire sends them as text, one path=value per line; the platform's configuration has the same object
+as nested JSON. Both become the same dotted paths here, so that one reader serves both.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
     "dedup": api.Repeat.WINDOWED,
     "fragile": api.Repeat.ONCE,
 }
-NOTES = {1: api.NoteKind.DELIVERED, 2: api.NoteKind.RUNG, 3: api.NoteKind.LINK, 4: api.NoteKind.UPLINK}
+NOTE_KINDS = {1: api.NoteKind.DELIVERED, 2: api.NoteKind.RUNG, 3: api.NoteKind.LINK, 4: api.NoteKind.UPLINK}
 LOAD_FIELDS = {"x0": "link", "busy": "link_up_to_one", "x1": "uplink", "rif": "streams"}
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense; the message names its path."""
+    """A setting is missing or invalid; the message names its path."""
 
 
-def _plain(value: Any) -> str:
+def _scalar_text(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
 
 
-def _flat(path: str, value: Any) -> Iterator[tuple[str, str]]:
-    """The wire's paths of a nested value: plain lists are joined by commas, lists of objects numbered."""
+def _flatten(path: str, value: Any) -> Iterator[tuple[str, str]]:
+    """Paths and texts of a nested value, as on the wire: lists of scalars are joined, objects numbered."""
     if isinstance(value, Mapping):
         for key, inner in value.items():
-            yield from _flat(f"{path}.{key}" if path else str(key), inner)
+            yield from _flatten(f"{path}.{key}" if path else str(key), inner)
     elif isinstance(value, list) and any(isinstance(item, Mapping) for item in value):
         yield f"{path}.count", str(len(value))
         for k, inner in enumerate(value):
-            yield from _flat(f"{path}.{k}", inner)
+            yield from _flatten(f"{path}.{k}", inner)
     elif isinstance(value, list):
-        yield path, ",".join(_plain(item) for item in value)
+        yield path, ",".join(_scalar_text(item) for item in value)
     elif value is not None:
-        yield path, _plain(value)
+        yield path, _scalar_text(value)
 
 
 class Params:
-    """The settings text: path=value lines. A missing path with no default is an error that names it."""
+    """Settings by path, from path=value lines. Reading a missing path without a default is an error."""
 
     def __init__(self, text: str = "") -> None:
         self.values: dict[str, str] = {}
@@ -58,9 +58,9 @@
 
     @classmethod
     def nested(cls, settings: Mapping[str, Any]) -> Params:
-        """The same paths out of nested JSON."""
+        """The same paths from nested JSON."""
         params = cls()
-        params.values.update(_flat("", settings))
+        params.values.update(_flatten("", settings))
         return params
 
     def text(self, path: str, default: str | None = None) -> str:
@@ -90,7 +90,9 @@
         try:
             return tuple(float(item) for item in self.items(path, default))
         except ValueError as error:
-            raise SettingsError(f"settings: {path} is not a list of numbers") from error
+            raise SettingsError(
+                f"settings: {path}={self.text(path, default)!r} is not a list of numbers"
+            ) from error
 
 
 def _classes(params: Params, rungs: int) -> tuple[api.SessionClass, ...]:
@@ -102,20 +104,20 @@
     seats = params.numbers(info + "licence_cap", ",".join(["0"] * count))
     live = params.items(info + "is_live", ",".join(["false"] * count))
     if min(len(scale), len(floor), len(top), len(seats), len(live)) < count:
-        raise SettingsError("settings: a family_info list is shorter than categories.count")
+        raise SettingsError(f"settings: a family_info list is shorter than categories.count={count}")
     classes = []
     for k in range(count):
-        at = f"categories.{k}."
-        repeat = params.text(at + "idempotency")
+        prefix = f"categories.{k}."
+        repeat = params.text(prefix + "idempotency")
         if repeat not in _REPEATS:
-            raise SettingsError(f"settings: {at}idempotency={repeat!r} is not known")
+            raise SettingsError(f"settings: {prefix}idempotency={repeat!r} is unknown")
         classes.append(
             api.SessionClass(
-                name=params.text(at + "name", ""),
+                name=params.text(prefix + "name", ""),
                 repeat=_REPEATS[repeat],
-                wanted_ms=params.number(at + "aim_ms"),
-                deadline_ms=params.number(at + "deadline_ms"),
-                worth=params.number(at + "gain", 1.0),
+                wanted_ms=params.number(prefix + "aim_ms"),
+                deadline_ms=params.number(prefix + "deadline_ms"),
+                worth=params.number(prefix + "gain", 1.0),
                 rate_scale=scale[k],
                 floor=int(floor[k]),
                 top=int(top[k]),
@@ -127,7 +129,7 @@
 
 
 def settings_of(params: Params) -> api.Settings:
-    """Turn paths and values into Settings; paths not named here are dropped."""
+    """Convert paths and values to Settings; other paths are ignored."""
     ladder = params.numbers("family_info.ladder_kb")
     tenants = tuple(
         api.Tenant(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -90,8 +90,8 @@
 @pytest.mark.parametrize(
     ("body", "message"),
     [
-        ("00", "head is cut short"),
-        (HEAD + "01000000", "record's head"),
+        ("00", "batch head truncated: got 1 of 12 bytes"),
+        (HEAD + "01000000", "record head truncated: got 0 of 6 bytes"),
         (HEAD + "01000000 6300 00000000", "unknown record code 99"),
         (HEAD + "01000000 0700 0a000000 0300", "runs past the end"),
         (HEAD + "01000000 0700 02000000 0300", "bytes of fields"),
