--- a/foxlift/cli/control.py
+++ b/foxlift/cli/control.py
@@ -153,13 +153,13 @@
     return change
 
 
-def _send(url: str, order: ChangeRequest) -> None:
-    answer = _decode_answer(_call(url, "POST", messages.ORDERS, msgspec.json.encode(order)).body)
+def _send(url: str, request: ChangeRequest) -> None:
+    answer = _decode_answer(_call(url, "POST", messages.ORDERS, msgspec.json.encode(request)).body)
     if answer.outcome is Outcome.COMMITTED:
-        click.echo(json.dumps({"request": order.request, "version": answer.version}))
+        click.echo(json.dumps({"request": request.request_id, "version": answer.version}))
         return
     code = REFUSED if answer.outcome is Outcome.REFUSED else UNKNOWN
-    _end(code, f"request {order.request}: {answer.outcome.value}: {answer.reason}")
+    _end(code, f"request {request.request_id}: {answer.outcome.value}: {answer.reason}")
 
 
 def _call(url: str, method: str, path: str, body: bytes) -> Response:
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -10,7 +10,7 @@
 from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.http import Exchange, Failure, Headers, Response
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Take in what a box has handed over."""
 
-    def boot_of(self, keep: events.KeepIntent) -> str:
+    def boot_of(self, keep: events.PersistIntent) -> str:
         """The box process that a paid set-up is for."""
 
     def epoch_renewed(self) -> None:
@@ -61,5 +61,5 @@
     def superseded(self) -> None:
         """Another process has this director's name: do nothing more."""
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
--- a/foxlift/rollout/group.py
+++ b/foxlift/rollout/group.py
@@ -67,11 +67,11 @@
     # ---- Orders -------------------------------------------------------------------------------------------
     def request_change(self, now: float, correlation_id: int, request: ChangeRequest) -> list[Action]:
         """An operator's order; ProposalFinished tells what became of it."""
-        if request.request.startswith(INTERNAL):
+        if request.request_id.startswith(INTERNAL):
             return [_refused(correlation_id, f"request: must not begin with {INTERNAL}")]
         if request.withdraw and not request.change.is_empty:
             return [_refused(correlation_id, "an order either changes or withdraws")]
-        proposal = Proposal(correlation_id, request.request, request.change, withdraw=request.withdraw)
+        proposal = Proposal(correlation_id, request.request_id, request.change, withdraw=request.withdraw)
         return list(self._proposer.propose(now, proposal))
 
     def handle_register_event(self, now: float, event: registers.ChangeProgress) -> list[Action]:
@@ -100,7 +100,7 @@
                 proposal = Proposal(0, f"{INTERNAL}revert.{version}", withdraw=version, reason=reason)
             case None:
                 return actions
-        if self._proposer.is_pending(proposal.request):
+        if self._proposer.is_pending(proposal.request_id):
             return actions
         return [*actions, *self._proposer.propose(now, proposal, first=True)]
 
--- a/foxlift/rollout/log.py
+++ b/foxlift/rollout/log.py
@@ -77,7 +77,7 @@
         self.head = entry.version
         if entry.reverts:
             self._reverts.append(Revert(entry.reverts, entry.version))
-        self._record_request(entry.request, entry.version)
+        self._record_request(entry.request_id, entry.version)
         self._release(entry.released)
         self._compact()
         return True
