--- a/foxlift/interface.py
+++ b/foxlift/interface.py
@@ -1,7 +1,7 @@
-"""All that an embedder exchanges with a director: settings, events and actions. No policy lives here.
+"""All types that an embedder exchanges with a director: settings, events and actions. It decides nothing.
 
-Times are milliseconds on the embedder's own clock, rates are kB a second. Every name of a node, title,
-session or viewer is an opaque whole number. Rungs count from 0, the lowest rate of the ladder.
+Times are milliseconds on the embedder's own clock, rates are kB/s. Nodes, titles, sessions and viewers are
+named by opaque whole numbers. Rungs count from 0, the lowest rate of the ladder.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Status(Enum):
-    """What the node list says of a node."""
+    """State of a node in the node list."""
 
     DRAINING = 0
     READY = 1
@@ -27,7 +27,7 @@
 
 
 class ListKind(Enum):
-    """How a node list relates to the one before it."""
+    """Kind of a node list: whole, changes only, whole but possibly stale, or not received."""
 
     FULL = "full"
     DELTA = "delta"
@@ -49,12 +49,12 @@
 
     @property
     def proves_unrun(self) -> bool:
-        """True where the outcome proves that the node never ran the attempt."""
+        """Whether the outcome proves that the node never ran the attempt."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
 class NoteKind(Enum):
-    """What a note on a playing session tells."""
+    """What a note on a playing session reports."""
 
     DELIVERED = "share of the asked rates that the node's sessions got"
     RUNG = "rung in force"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClass:
-    """Terms of one class of session."""
+    """Terms of one class of sessions."""
 
     name: str
     repeat: Repeat
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Part of the service that a tenant may claim at full worth."""
+    """Share of the service that a tenant may use at full worth."""
 
     name: str
     share: float
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Figures that hold for the whole life of a director."""
+    """Settings that stay the same for the life of a director."""
 
     director: int
     directors: int
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeInfo:
-    """One line of the node list."""
+    """One entry of the node list."""
 
     node: int
     zone: int
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A node's load report; what it does not tell is None."""
+    """A node's load report; None where it does not report a figure."""
 
     link: float | None = None
     link_up_to_one: float | None = None
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """News from the node list."""
+    """A node list has arrived, or could not be fetched."""
 
     kind: ListKind
     nodes: tuple[NodeInfo, ...] = ()
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A viewer wants a session; it is owed one final answer within ttl_ms."""
+    """A viewer requests a session, and must get one final answer within ttl_ms."""
 
     session: int
     klass: int
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """A session handed over at the start; it plays on this node as attempt 0."""
+    """A session that was handed over at the start and plays on this node as attempt 0."""
 
     ask: Ask
     node: int
@@ -197,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A set-up is done and the viewer watches."""
+    """A set-up is done and the session plays."""
 
     session: int
     node: int
@@ -207,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """An attempt is over. With `final` set, nothing more is owed for the session."""
+    """An attempt has ended. If `final` is set, the session needs no further answer."""
 
     session: int
     node: int
@@ -220,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """News on a playing session or on its node."""
+    """A report on a playing session or on its node."""
 
     session: int
     node: int
@@ -230,21 +230,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The viewer walked away; nothing more is owed for the session."""
+    """The viewer has left; the session needs no further answer."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """A timer has come due."""
+    """A timer is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """What a probe found."""
+    """Result of a probe."""
 
     node: int
     outcome: Outcome
@@ -254,9 +254,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneShares:
-    """Where this director's viewers go by the plan in force: a share for each zone of the settings.
+    """Shares of this director's viewers for each zone of the settings, by the plan in force.
 
-    Empty: there is no plan, and every decision is as if there had never been one.
+    Empty if there is no plan: decisions are then as if there had never been one.
     """
 
     shares: tuple[float, ...] = ()
@@ -267,7 +267,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Set the session up on a node; it times out after within_ms."""
+    """Set up the session on a node; the attempt times out after within_ms."""
 
     session: int
     node: int
@@ -276,7 +276,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetRung:
-    """Play, or start, the session at this rung."""
+    """Play the session, or start it, at this rung."""
 
     session: int
     rung: int
@@ -284,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused, and a further try is harmless, best after come_back_ms."""
+    """Final answer: refused. Trying again is harmless, best after come_back_ms."""
 
     session: int
     come_back_ms: float = 0.0
@@ -292,7 +292,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise whether a set-up took effect."""
+    """Final answer: failed. A set-up may have taken effect or not."""
 
     session: int
 
@@ -307,14 +307,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Take a playing session off its node; its viewer asks again shortly."""
+    """Take a playing session off its node; its viewer requests it again shortly."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Wake with this token."""
+    """Request a Wake with this token after delay_ms."""
 
     delay_ms: float
     token: int
@@ -322,21 +322,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check on a node."""
+    """Check whether a node answers."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to changes of the node list, or end that."""
+    """Subscribe to changes of the node list, or end the subscription."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask for the whole node list once."""
+    """Fetch the whole node list once."""
 
 
 @dataclass(frozen=True, slots=True)
