--- a/tests/test_plan_event.py
+++ b/tests/test_plan_event.py
@@ -73,12 +73,12 @@
     without_plans, with_plans = director(8), director(8)
     with_plans.handle(0.1, fl.ZoneShares((1.0,)))
     with_plans.handle(0.2, fl.ZoneShares())
-    now, attempts = 1.0, dict[int, tuple[int, int]]()
+    now, live = 1.0, dict[int, tuple[int, int]]()
     for number in range(400):
         now += rng.expovariate(1 / 20)
         event: fl.Event
-        if attempts and rng.random() < 0.5:
-            session, (node, attempt) = rng.choice(list(attempts.items()))
+        if live and rng.random() < 0.5:
+            session, (node, attempt) = rng.choice(list(live.items()))
             outcome = rng.choice(list(fl.Outcome))
             events: list[fl.Event] = [
                 fl.Started(session, node, attempt, 40.0),
@@ -87,7 +87,7 @@
             ]
             event = rng.choice(events)
             if isinstance(event, fl.Ended):
-                del attempts[session]
+                del live[session]
         elif rng.random() < 0.1:
             event = delta(info(rng.randrange(8), rng.choice(list(fl.Status))))
         elif rng.random() < 0.1:
@@ -98,4 +98,4 @@
         assert with_plans.handle(now, event) == actions
         with_plans.handle(now, fl.ZoneShares())
         for action in only(actions, fl.SetUp):
-            attempts[action.session] = action.node, without_plans.sessions[action.session].attempts - 1
+            live[action.session] = action.node, without_plans.sessions[action.session].attempts - 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -208,7 +208,7 @@
         self.outcomes: dict[int, list[fl.Outcome]] = {}
         self.requested_at: list[float] = []
         self.extra_attempts: list[float] = []
-        self.seats: Counter[tuple[int, int]] = Counter()
+        self.seats_taken: Counter[tuple[int, int]] = Counter()
 
     def klass(self, session: int) -> fl.SessionClass:
         return self.settings.classes[self.asked[session][0].klass]
@@ -234,9 +234,9 @@
             assert self.klass(action.session).repeat is fl.Repeat.FREE or self.unrun(action.session)
             self.attempts[action.session] = (action.node, attempt)
             seat = (asked.title, asked.klass)
-            self.seats[seat] += 1
+            self.seats_taken[seat] += 1
             seats = self.klass(action.session).seats
-            assert not seats or self.seats[seat] <= seats
+            assert not seats or self.seats_taken[seat] <= seats
             if attempt:
                 self.extra_attempts.append(now)
                 span = now - self.settings.extra_span_ms
@@ -270,7 +270,7 @@
             check.answers[event.session] += 1
         elif isinstance(event, fl.Ended):
             asked = check.asked[event.session][0]
-            check.seats[asked.title, asked.klass] -= 1
+            check.seats_taken[asked.title, asked.klass] -= 1
             check.outcomes[event.session].append(event.outcome)
             check.attempts.pop(event.session)
             if event.outcome is fl.Outcome.NEVER_SENT and event.attempt:
@@ -355,8 +355,8 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_random_runs_keep_all_six_rules(seed: int) -> None:
-    run = RandomRun(seed)
-    run.run(20000.0)
-    assert sum(len(check.asked) for check in run.checks) > 300
-    assert sum(len(check.extra_attempts) for check in run.checks) > 0
-    assert run.cold_total > 0
+    simulation = RandomRun(seed)
+    simulation.run(20000.0)
+    assert sum(len(check.asked) for check in simulation.checks) > 300
+    assert sum(len(check.extra_attempts) for check in simulation.checks) > 0
+    assert simulation.cold_total > 0
