--- a/foxlift/decide/attempts.py
+++ b/foxlift/decide/attempts.py
@@ -375,25 +375,25 @@
             case ReleaseFailed(set_up):
                 held = self._orphans.get(set_up)
                 return [] if held is None else [Release(set_up, held, True)]
-        found = self._live.get(event.session)
-        if found is None or found.attempt != event.attempt:
+        current = self._live.get(event.session)
+        if current is None or current.attempt != event.attempt:
             return self._after_end(event)
         match event:
             case IntentDurable():
-                return self._intent_durable(now, found)
+                return self._intent_durable(now, current)
             case IntentFailed():
                 # only while it waits for the intent is it certain that nothing was sent
-                unsent = found.state is _State.INTENT
-                return self._end(found, fl.Outcome.NEVER_SENT) if unsent else []
+                unsent = current.state is _State.INTENT
+                return self._end(current, fl.Outcome.NEVER_SENT) if unsent else []
             case Answered():
-                return self._answered(found, event)
+                return self._answered(current, event)
             case CallFailed():
-                return self._call_failed(found, event)
+                return self._call_failed(current, event)
             case EndedAtBox():
-                if found.state is not _State.PLAYING:
+                if current.state is not _State.PLAYING:
                     return []
                 return self._end(
-                    found, event.outcome, event.load, box_time_ms=event.box_time_ms, parked=event.parked
+                    current, event.outcome, event.load, box_time_ms=event.box_time_ms, parked=event.parked
                 )
 
     # ---- Queries ------------------------------------------------------------------------------------------
@@ -410,19 +410,25 @@
         prefix, _, session = prefix.rpartition("-")
         if prefix != self._prefix or not (session.isdigit() and attempt.isdigit()):
             return None
-        found = int(session), int(attempt)
-        return found if f"{prefix}-{found[0]}-{found[1]}" == set_up else None
+        numbers = int(session), int(attempt)
+        return numbers if f"{prefix}-{numbers[0]}-{numbers[1]}" == set_up else None
 
     def is_known(self, set_up: str) -> bool:
         """Whether the set-up is out, playing or being released."""
         own = self.attempt_of(set_up)
-        found = None if own is None else self._live.get(own[0])
-        return set_up in self._orphans or (found is not None and own is not None and found.attempt == own[1])
+        current = None if own is None else self._live.get(own[0])
+        return set_up in self._orphans or (
+            current is not None and own is not None and current.attempt == own[1]
+        )
 
     def playing_at(self, session: int) -> tuple[int, int] | None:
         """Box and attempt number of a playing session, else None."""
-        found = self._live.get(session)
-        return (found.node, found.attempt) if found is not None and found.state is _State.PLAYING else None
+        current = self._live.get(session)
+        return (
+            (current.node, current.attempt)
+            if current is not None and current.state is _State.PLAYING
+            else None
+        )
 
     def count_at(self, node: int) -> int:
         """Number of attempts out or playing at the box."""
@@ -454,107 +460,107 @@
             self._set_up_ids[event.session, event.attempt] = event.set_up
             self._attempt_ids[event.set_up] = event.session, event.attempt
         state = _State.INTENT if event.paid and not resumes_parked else _State.SENT
-        made = _Attempt(
+        created = _Attempt(
             event.session, event.attempt, event.node, event.rung, event.paid, event.timeout_at, state
         )
-        made.resumes_parked = resumes_parked
-        self._live[event.session] = made
+        created.resumes_parked = resumes_parked
+        self._live[event.session] = created
         self._by_node.setdefault(event.node, set()).add(event.session)
         if state is _State.INTENT:
             return [WriteIntent(event.session, event.attempt, event.node)]
-        made.sent_rung = event.rung
+        created.sent_rung = event.rung
         return [StartSetUp(event.session, event.attempt, event.node, event.rung, event.timeout_at)]
 
     def _resume(self, event: Resume) -> None:
         if event.session in self._live:
             raise RuntimeError(f"session {event.session} has an attempt already")
-        made = _Attempt(event.session, 0, event.node, event.rung, False, 0.0, _State.PLAYING)
-        made.boot, made.counter = event.boot, event.counter
+        created = _Attempt(event.session, 0, event.node, event.rung, False, 0.0, _State.PLAYING)
+        created.boot, created.counter = event.boot, event.counter
         if event.set_up:
             self._set_up_ids[event.session, 0] = event.set_up
             self._attempt_ids[event.set_up] = event.session, 0
-        self._live[event.session] = made
+        self._live[event.session] = created
         self._by_node.setdefault(event.node, set()).add(event.session)
 
     def _change_prefix(self, prefix: str) -> None:
-        for found in self._live.values():
-            key = found.session, found.attempt
+        for current in self._live.values():
+            key = current.session, current.attempt
             set_up = self.set_up_id(*key)
             self._set_up_ids[key], self._attempt_ids[set_up] = set_up, key
         self._prefix = prefix
 
-    def _intent_durable(self, now: float, found: _Attempt) -> list[Action]:
-        if found.state is not _State.INTENT:
+    def _intent_durable(self, now: float, current: _Attempt) -> list[Action]:
+        if current.state is not _State.INTENT:
             return []
         # meanwhile the list may have changed or the viewer left: writing the intent takes time
-        if found.node in self._closed or now >= found.timeout_at or not found.wanted:
-            return self._end(found, fl.Outcome.NEVER_SENT)
-        found.state, found.sent_rung = _State.SENT, found.rung
-        return [StartSetUp(found.session, found.attempt, found.node, found.rung, found.timeout_at)]
+        if current.node in self._closed or now >= current.timeout_at or not current.wanted:
+            return self._end(current, fl.Outcome.NEVER_SENT)
+        current.state, current.sent_rung = _State.SENT, current.rung
+        return [StartSetUp(current.session, current.attempt, current.node, current.rung, current.timeout_at)]
 
-    def _answered(self, found: _Attempt, event: Answered) -> list[Action]:
-        if found.state is not _State.SENT:
+    def _answered(self, current: _Attempt, event: Answered) -> list[Action]:
+        if current.state is not _State.SENT:
             return []
         if not event.started:
-            return self._end(found, event.outcome, event.load)
-        if not found.wanted:  # the viewer left while the answer was on its way
-            return self._end(found, fl.Outcome.CANCELLED, event.load, orphan=True)
-        found.state, found.boot, found.counter = _State.PLAYING, event.boot, event.counter
+            return self._end(current, event.outcome, event.load)
+        if not current.wanted:  # the viewer left while the answer was on its way
+            return self._end(current, fl.Outcome.CANCELLED, event.load, orphan=True)
+        current.state, current.boot, current.counter = _State.PLAYING, event.boot, event.counter
         started: list[Action] = [
-            ReportStarted(found.session, found.attempt, found.node, event.load, event.box_time_ms)
+            ReportStarted(current.session, current.attempt, current.node, event.load, event.box_time_ms)
         ]
-        if found.rung != found.sent_rung:
-            started.append(SendRung(found.session, found.attempt, found.node, found.rung))
+        if current.rung != current.sent_rung:
+            started.append(SendRung(current.session, current.attempt, current.node, current.rung))
         return started
 
-    def _call_failed(self, found: _Attempt, event: CallFailed) -> list[Action]:
-        if found.state is not _State.SENT:
+    def _call_failed(self, current: _Attempt, event: CallFailed) -> list[Action]:
+        if current.state is not _State.SENT:
             return []
         if event.sent:
-            return self._end(found, _OUTCOMES_IF_SENT[event.failure], orphan=True)
+            return self._end(current, _OUTCOMES_IF_SENT[event.failure], orphan=True)
         refused = event.failure is CallFailure.CONNECT
-        return self._end(found, fl.Outcome.CONNECT_FAILED if refused else fl.Outcome.NEVER_SENT)
+        return self._end(current, fl.Outcome.CONNECT_FAILED if refused else fl.Outcome.NEVER_SENT)
 
     def _box_draining(self, event: BoxDraining) -> list[Action]:
         """Stop only set-ups of which nothing was sent: the others were sent before the drain was received."""
         self._closed.add(event.node)
         actions: list[Action] = []
         for session in sorted(self._by_node.get(event.node, ())):
-            found = self._live[session]
-            if found.state is _State.SENT and not found.draining:
-                found.draining = True
-                actions.append(AbortSetUp(found.session, found.attempt, if_unsent=True))
+            current = self._live[session]
+            if current.state is _State.SENT and not current.draining:
+                current.draining = True
+                actions.append(AbortSetUp(current.session, current.attempt, if_unsent=True))
         if event.gone:
             self._orphans = {orphan: node for orphan, node in self._orphans.items() if node != event.node}
         return actions
 
     # ---- End and rung -------------------------------------------------------------------------------------
     def _cancel(self, session: int) -> list[Action]:
-        found = self._live.get(session)
-        if found is None:
+        current = self._live.get(session)
+        if current is None:
             return []
-        found.wanted = False
-        if found.state is _State.INTENT:
+        current.wanted = False
+        if current.state is _State.INTENT:
             return []  # ends as NEVER_SENT at IntentDurable or IntentFailed
-        if found.state is _State.SENT:
-            return [AbortSetUp(found.session, found.attempt)]
-        return self._end(found, fl.Outcome.CANCELLED, orphan=True)
+        if current.state is _State.SENT:
+            return [AbortSetUp(current.session, current.attempt)]
+        return self._end(current, fl.Outcome.CANCELLED, orphan=True)
 
     def _set_rung(self, event: RungChanged) -> list[Action]:
-        found = self._live.get(event.session)
-        if found is None or found.rung == event.rung:
+        current = self._live.get(event.session)
+        if current is None or current.rung == event.rung:
             return []
-        found.rung = event.rung
-        if found.state is not _State.PLAYING:
+        current.rung = event.rung
+        if current.state is not _State.PLAYING:
             return []  # the set-up carries it, or SendRung follows its answer
-        return [SendRung(found.session, found.attempt, found.node, event.rung)]
+        return [SendRung(current.session, current.attempt, current.node, event.rung)]
 
     def _box_lost(self, event: BoxLost) -> list[Action]:
         actions: list[Action] = []
         for session in sorted(self._by_node.get(event.node, ())):
-            found = self._live[session]
-            if found.state is _State.PLAYING and not self._is_held(found, event):
-                actions += self._end(found, fl.Outcome.RESET)
+            current = self._live[session]
+            if current.state is _State.PLAYING and not self._is_held(current, event):
+                actions += self._end(current, fl.Outcome.RESET)
         for set_up in sorted(event.held):
             if set_up not in self._orphans and not self._is_live(set_up, event.node):
                 # unknown here: its answer was lost with an earlier process of this director
@@ -562,16 +568,16 @@
                 actions.append(Release(set_up, event.node))
         return actions
 
-    def _is_held(self, found: _Attempt, event: BoxLost) -> bool:
-        if event.boot is None or found.boot != event.boot:
+    def _is_held(self, current: _Attempt, event: BoxLost) -> bool:
+        if event.boot is None or current.boot != event.boot:
             return False
-        listed = self.set_up_id(found.session, found.attempt) in event.held
-        return listed or found.counter > event.counter
+        listed = self.set_up_id(current.session, current.attempt) in event.held
+        return listed or current.counter > event.counter
 
     def _is_live(self, set_up: str, node: int) -> bool:
         own = self.attempt_of(set_up)
-        found = None if own is None else self._live.get(own[0])
-        return found is not None and own is not None and found.attempt == own[1] and found.node == node
+        current = None if own is None else self._live.get(own[0])
+        return current is not None and own is not None and current.attempt == own[1] and current.node == node
 
     def _after_end(
         self, event: IntentDurable | IntentFailed | Answered | CallFailed | EndedAtBox
@@ -583,28 +589,36 @@
 
     def _end(
         self,
-        found: _Attempt,
+        current: _Attempt,
         outcome: fl.Outcome,
         load: fl.Load | None = None,
         orphan: bool = False,
         box_time_ms: int = 0,
         parked: bool = False,
     ) -> list[Action]:
-        playing = found.state is _State.PLAYING
-        set_up = self.set_up_id(found.session, found.attempt)
-        if self._set_up_ids.pop((found.session, found.attempt), None) is not None:
+        playing = current.state is _State.PLAYING
+        set_up = self.set_up_id(current.session, current.attempt)
+        if self._set_up_ids.pop((current.session, current.attempt), None) is not None:
             self._attempt_ids.pop(set_up, None)
-        del self._live[found.session]
-        self._by_node[found.node].discard(found.session)
-        if not self._by_node[found.node]:
-            del self._by_node[found.node]
+        del self._live[current.session]
+        self._by_node[current.node].discard(current.session)
+        if not self._by_node[current.node]:
+            del self._by_node[current.node]
         actions: list[Action] = [
             ReportEnded(
-                found.session, found.attempt, found.node, outcome, playing, load, box_time_ms, parked, set_up
+                current.session,
+                current.attempt,
+                current.node,
+                outcome,
+                playing,
+                load,
+                box_time_ms,
+                parked,
+                set_up,
             )
         ]
-        if orphan and (playing or not found.resumes_parked):
-            self._orphans[set_up] = found.node
+        if orphan and (playing or not current.resumes_parked):
+            self._orphans[set_up] = current.node
             # released first: the module may set up the session elsewhere at once
-            actions.insert(0, Release(set_up, found.node))
+            actions.insert(0, Release(set_up, current.node))
         return actions
--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -520,18 +520,18 @@
             entry.state = _State.LEFT
             actions.append(Withdraw(entry.session))
         self._last_session += 1
-        made = _TokenSession(
+        adopted = _TokenSession(
             event.token, event.paid, event.expires, self._last_session, _State.PLAYING, played=True
         )
-        made.location = event.location
-        self._by_token[event.token] = made
+        adopted.location = event.location
+        self._by_token[event.token] = adopted
         if event.until:
             # the query brings each waiting request back here, where it resumes the parked session
-            self._park(made, event.until)
+            self._park(adopted, event.until)
             return [*actions, *(QueryOwner(request) for request in waiting)]
-        self._by_session[made.session] = made
-        answers = [SendManifest(request, made.session) for request in waiting]
-        return [*actions, Adopted(made.session), *answers]
+        self._by_session[adopted.session] = adopted
+        answers = [SendManifest(request, adopted.session) for request in waiting]
+        return [*actions, Adopted(adopted.session), *answers]
 
     def _restore(self, event: Restored) -> None:
         entry = _TokenSession(event.token, True, event.expires, 0, _State.SPENT, played=event.played)
--- a/foxlift/interface.py
+++ b/foxlift/interface.py
@@ -171,7 +171,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A viewer requests a session, and must get one final answer within ttl_ms."""
+    """A viewer requests a session, and must get one final answer within ttl_ms.
+
+    The holders of its title are the nodes of `holders` cells in a row, from `first_cell` on.
+    """
 
     session: int
     klass: int
--- a/foxlift/logic.py
+++ b/foxlift/logic.py
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class _Pipe:
-    """A node's link or a rack's uplink: its capacity, its reported use and this director's own part of it."""
+    """A node's link or a rack's uplink: its capacity, its reported use and this director's own part."""
 
     nominal_kb: float
     capacity_kb: float  # what it gives: the nominal capacity, or less after short deliveries
@@ -104,11 +104,11 @@
         self.changed_kb += kb
         self.changes.append((now, kb))
 
-    def record_use(self, use: float, moment: float) -> None:
+    def record_use(self, use: float, as_of: float) -> None:
         """Take in a report, unless there is a later one."""
-        if moment >= self.use_at:
-            self.reported_use, self.use_at = use, moment
-            while self.changes and self.changes[0][0] <= moment:
+        if as_of >= self.use_at:
+            self.reported_use, self.use_at = use, as_of
+            while self.changes and self.changes[0][0] <= as_of:
                 self.changes.popleft()
             self.changed_kb = sum(kb for _, kb in self.changes)
 
@@ -154,7 +154,9 @@
     def __init__(self, settings: fl.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.best_yield = max(1e-9, *(self._worth_per_kb(klass, klass.floor) for klass in settings.classes))
+        self.best_worth_per_kb = max(
+            1e-9, *(self._worth_per_kb(klass, klass.floor) for klass in settings.classes)
+        )
         rungs = range(len(settings.ladder_kb))
         self.rates_kb = [[kb * klass.rate_scale for kb in settings.ladder_kb] for klass in settings.classes]
         self.target_uses = [[self._target_use(klass, rung) for rung in rungs] for klass in settings.classes]
@@ -214,9 +216,9 @@
                 self._record_use(pipe, value, self.now - REPORT_AGE_MS)
         self._raise_sessions(node.rack)
 
-    def _record_use(self, pipe: _Pipe, use: float, moment: float) -> None:
+    def _record_use(self, pipe: _Pipe, use: float, as_of: float) -> None:
         self.rack_use_cache.clear()
-        pipe.record_use(use, moment)
+        pipe.record_use(use, as_of)
         if pipe.nodes[0].link is pipe:
             self.use_samples = min(self.use_samples + 1, MAX_USE_SAMPLES)
             self.mean_use += (min(use, 1 / MIN_SHARE) - self.mean_use) / self.use_samples
@@ -230,21 +232,21 @@
             self._assign_rung(session, min(int(note.value), len(self.settings.ladder_kb) - 1))
         if node is None or session is None:
             return
-        moment = self.now - self.settings.note_late_ms
+        as_of = self.now - self.settings.note_late_ms
         if note.kind is fl.NoteKind.DELIVERED:
-            self._delivered(node, note.value, moment)
+            self._delivered(node, note.value, as_of)
         elif note.kind is fl.NoteKind.LINK:
-            self._record_use(node.link, note.value, moment)
+            self._record_use(node.link, note.value, as_of)
         elif note.kind is fl.NoteKind.UPLINK:
-            self._record_use(node.rack, note.value, moment)
+            self._record_use(node.rack, note.value, as_of)
         if note.kind is not fl.NoteKind.DELIVERED:
             self._restore_capacity(node.rack)
             for pipe in (node.link, node.rack):
-                if (use := pipe.estimated_use()) is not None and moment > pipe.lowered_at:
+                if (use := pipe.estimated_use()) is not None and as_of > pipe.lowered_at:
                     self._lower_sessions(pipe, use)
             self._raise_sessions(node.rack)
 
-    def _delivered(self, node: _Node, share: float, moment: float) -> None:
+    def _delivered(self, node: _Node, share: float, as_of: float) -> None:
         """Mark the link or uplink that causes a short delivery as full; a note of full delivery clears both.
 
         The uplink is the cause if another node of the rack has short deliveries too, or no other node has own
@@ -277,13 +279,13 @@
         share = max(share, MIN_SHARE)  # 0 where links are cut off: the uplink would have no capacity left
         use = 1 / share
         if pipe is link or rack.reported_use is not None:
-            pipe.record_use(use, moment)
-        elif moment > rack.lowered_at + SHARE_SMOOTHING_MS:
+            pipe.record_use(use, as_of)
+        elif as_of > rack.lowered_at + SHARE_SMOOTHING_MS:
             rack.capacity_kb = max(
                 min(rack.capacity_kb, share * max(self._rack_demand_kb(rack), rack.own_kb)), MIN_CAPACITY_KB
             )
             rack.capacity_at = self.now
-        if moment > pipe.lowered_at + SHARE_SMOOTHING_MS:
+        if as_of > pipe.lowered_at + SHARE_SMOOTHING_MS:
             self._lower_sessions(pipe, use)
 
     def _restore_capacity(self, rack: _Pipe) -> None:
@@ -291,10 +293,10 @@
         if rack.short_until > self.now or rack.capacity_kb == math.inf:
             return
         self.rack_use_cache.clear()
-        part = min((self.now - rack.capacity_at) / (RECOVERY_DELAYS * self.raise_delay_ms), 1.0)
+        fraction = min((self.now - rack.capacity_at) / (RECOVERY_DELAYS * self.raise_delay_ms), 1.0)
         rack.capacity_at = self.now
         rack.capacity_kb = max(
-            rack.capacity_kb + part * (rack.nominal_kb - rack.capacity_kb),
+            rack.capacity_kb + fraction * (rack.nominal_kb - rack.capacity_kb),
             min(self._rack_demand_kb(rack), rack.nominal_kb),
         )
 
@@ -306,8 +308,8 @@
         """
         if (use := node.link.estimated_use()) is not None:
             return use
-        margin = 1 + UNREPORTED_MARGIN * max(1 - len(self.sessions) / max(len(self.nodes), 1), 0)
-        return max(margin * self.mean_use, node.link.own_kb * self.settings.directors / node.link.capacity_kb)
+        factor = 1 + UNREPORTED_MARGIN * max(1 - len(self.sessions) / max(len(self.nodes), 1), 0)
+        return max(factor * self.mean_use, node.link.own_kb * self.settings.directors / node.link.capacity_kb)
 
     def _rack_use(self, rack: _Pipe) -> float:
         """Estimated use of the uplink: by reports, or from the sum over the rack's links."""
@@ -366,8 +368,8 @@
         ]
         usable = [node for node in found if self.now >= node.suspended_until] or found
         tie = _hash(self.settings.director, ask.session)
-        once = self._class(ask).repeat is not fl.Repeat.FREE
         # a set-up that cannot be repeated must not be the trial of a node that has just failed
+        once = self._class(ask).repeat is not fl.Repeat.FREE
         crossing_costs = self.settings.price_crossing > 0
 
         connection_costs = self.settings.price_connection > 0
@@ -432,7 +434,7 @@
 
     def _target_use(self, klass: fl.SessionClass, rung: int) -> float:
         return TARGET_USE - TARGET_USE_STEP * math.log2(
-            self.best_yield / max(self._worth_per_kb(klass, rung), 1e-9)
+            self.best_worth_per_kb / max(self._worth_per_kb(klass, rung), 1e-9)
         )
 
     def _worth_per_kb(self, klass: fl.SessionClass, rung: int) -> float:
@@ -446,8 +448,8 @@
     def _requested(self, ask: fl.Ask) -> None:
         session = _Session(ask, self.now, self.now + ask.ttl_ms)
         cells = self.settings.cells
-        held_by = ((ask.first_cell + k) % cells for k in range(min(ask.holders, cells)))
-        for cell in (ALL_CELLS, *held_by):
+        holder_cells = ((ask.first_cell + k) % cells for k in range(min(ask.holders, cells)))
+        for cell in (ALL_CELLS, *holder_cells):
             self.cell_requests[cell] = (self._recent_requests(cell) + 1, self.now)
         if self.settings.extra_span_ms > 0:
             self.request_times.append(self.now)
@@ -481,10 +483,10 @@
         session.sent_at = self.now
         if session.attempts and self.settings.extra_span_ms > 0:
             self.extra_attempt_times.append(self.now)
-        left = session.deadline - self.now
+        timeout_ms = session.deadline - self.now
         klass = self._class(session.ask)
         if klass.repeat is fl.Repeat.FREE:
-            left = min(left, max(ATTEMPT_FRACTION * klass.wanted_ms, 1.0))
+            timeout_ms = min(timeout_ms, max(ATTEMPT_FRACTION * klass.wanted_ms, 1.0))
         session.attempts += 1
         session.tried.append(node.info.node)
         session.state, session.node = _State.SETTING_UP, node
@@ -494,7 +496,7 @@
         self._change_seats(session.ask, 1)
         self._assign_rung(session, rung)
         self.actions.append(fl.SetRung(session.ask.session, rung))
-        self.actions.append(fl.SetUp(session.ask.session, node.info.node, left))
+        self.actions.append(fl.SetUp(session.ask.session, node.info.node, timeout_ms))
 
     def _assign_rung(self, session: _Session, rung: int) -> None:
         """Set the session's rung and count its rate at its node and rack."""
@@ -673,12 +675,12 @@
         """Cost of a rung change as a fraction of what the rest of the session can earn; 0 before it plays."""
         if session.state is not _State.PLAYING:
             return 0.0
-        left = EXPECTED_REST_S
+        rest_s = EXPECTED_REST_S
         if session.ask.length_ms is not None:
-            left = max(
+            rest_s = max(
                 (session.ask.length_ms + session.requested_at - self.now) / 1000.0, MIN_EXPECTED_REST_S
             )
-        return self.settings.rung_change_s / left
+        return self.settings.rung_change_s / rest_s
 
     def _sessions_on(self, pipe: _Pipe) -> list[_Session]:
         return [session for node in pipe.nodes for session in node.sessions.values()]
@@ -799,8 +801,8 @@
 
     def _recent_requests(self, cell: int) -> float:
         """Decayed count of requests that the cell could serve, over about the last warm-up time."""
-        count, moment = self.cell_requests.get(cell, (0.0, 0.0))
-        return count * math.exp((moment - self.now) / max(self.settings.warm_up_ms, 1.0))
+        count, as_of = self.cell_requests.get(cell, (0.0, 0.0))
+        return count * math.exp((as_of - self.now) / max(self.settings.warm_up_ms, 1.0))
 
     def _request_rate(self, cell: int) -> float:
         """The same per ms that this director has run, so that it is not too low right after a start."""
