--- a/foxlift/platform/admission.py
+++ b/foxlift/platform/admission.py
@@ -1,38 +1,44 @@
 """Connection admission: which connections from clients stay open under the descriptor limit. No I/O.
 
-Clients hold at most a third of the descriptors by the platform's protocol; connections beyond the bound are
-closed to make room. A connection is *proven* once a whole, valid message was received on it.
+By the platform's protocol, clients hold at most a third of the descriptors. Connections beyond the bound are
+closed to make room. A connection is *proven* once a complete, valid message has been received on it.
 
     group      members                                   order within the group
     new        not proven, no message begun              time of accept
     partial    a message has begun and is not complete   time of its first byte
-    idle       proven, no session open or standing       time of the last message
+    idle       proven, no session open or playing        time of the last message
     busy       proven, with sessions                     -
 
-    connection  event                                                  what is done
+    connection  event                                                  action
     any         not proven after FIRST_REQUEST_TIMEOUT_MS              closed
     any         a message incomplete for PARTIAL_MESSAGE_TIMEOUT_MS    closed
-    any         MAX_PROTOCOL_ERRORS messages that are not valid        closed
-    any         more connections than the bound                        one is evicted, as below
-
-Evicted is the first that exists of: a new connection that has had FIRST_BYTE_GRACE_MS; the oldest one that is
-not proven, where these hold more than MAX_UNPROVEN_RATIO of the bound; the longest idle; the oldest new; the
-oldest partial without a session; the one accepted last.
-
-Why new connections are kept before idle ones: a client's first request is some round trips behind its connect
-and may come in several segments, while the platform's clients close idle connections themselves. Why only up
-to a share of the bound: those who connect by hundreds and never ask displace each other, not everyone else.
+    any         MAX_PROTOCOL_ERRORS invalid messages                   closed
+    any         more connections than the bound                        one is evicted, see below
+
+The connection to evict is the first that exists of:
+1. the oldest new connection, if it is older than FIRST_BYTE_GRACE_MS;
+2. the oldest new connection, else the oldest unproven one, if unproven connections exceed
+   MAX_UNPROVEN_RATIO of the bound (a connection that was just accepted counts as new only in rule 1);
+3. the connection that has been idle longest;
+4. the oldest new connection;
+5. the oldest partial connection without a session;
+6. the connection accepted last.
+
+New connections are preferred to idle ones because a client's first request arrives some round trips after its
+connect and may come in several segments, while the platform's clients close idle connections themselves. The
+preference ends at MAX_UNPROVEN_RATIO so that clients which open hundreds of connections without sending a
+request displace each other instead of everyone else.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-FIRST_REQUEST_TIMEOUT_MS = 2000.0  # bad clients are owed a close within 3 s of connecting
-PARTIAL_MESSAGE_TIMEOUT_MS = 1500.0  # a client writes a whole line at once
-FIRST_BYTE_GRACE_MS = 500.0  # a client's first byte follows its connect by a round trip or two
-MAX_UNPROVEN_RATIO = 0.25  # of the bound: unproven connections displace idle ones up to this share
-MAX_OVERSHOOT = 8  # connections over the bound until all sockets were read: half of the reserved descriptors
+FIRST_REQUEST_TIMEOUT_MS = 2000.0  # invalid clients must be closed within 3 s of connecting
+PARTIAL_MESSAGE_TIMEOUT_MS = 1500.0  # clients write a complete line at once
+FIRST_BYTE_GRACE_MS = 500.0  # the first byte follows the connect by one or two round trips
+MAX_UNPROVEN_RATIO = 0.25  # of the bound; up to this share, unproven connections displace idle ones
+MAX_OVERSHOOT = 8  # connections over the bound until all sockets are read: half of RESERVED_DESCRIPTORS
 MAX_PROTOCOL_ERRORS = 40  # invalid messages, each answered, after which a connection is closed
 
 
@@ -41,37 +47,37 @@
     opened_at: float
     proven: bool = False
     partial_since: float = 0.0  # 0: no partial message
-    sessions: int = 0  # open or standing
+    sessions: int = 0  # open or playing
     protocol_errors: int = 0  # invalid messages received
 
 
 @dataclass(slots=True)
 class ConnectionAdmission:
-    """All connections from clients, by number. The cost of a call does not grow with their count."""
+    """All connections from clients, by number. The cost of a call does not depend on their count."""
 
     max_connections: int
     connections: dict[int, _Connection] = field(default_factory=dict)
-    rejected: int = 0  # connections evicted so far
-    examined: int = 0  # entries examined so far in search of connections to close
+    rejected: int = 0  # number of evicted connections
+    examined: int = 0  # number of entries examined in the search for connections to close
     _unproven: dict[int, None] = field(default_factory=dict)  # in order of accept
     _partial: dict[int, None] = field(default_factory=dict)  # in order of the first byte of the message
     _idle: dict[int, None] = field(default_factory=dict)  # in order of the last message
 
     def opened(self, now: float, conn: int) -> int | None:
-        """Register an accepted connection; returns one to close at once if MAX_OVERSHOOT is exceeded."""
+        """Register an accepted connection; return one to close now if MAX_OVERSHOOT is exceeded."""
         self.connections[conn] = _Connection(now)
         self._unproven[conn] = None
         return self._evict(now) if len(self.connections) > self.max_connections + MAX_OVERSHOOT else None
 
     def surplus(self, now: float) -> list[int]:
-        """Connections to close so that the bound holds again; to be called once all sockets were read."""
+        """Evict connections down to the bound and return them. Call once all sockets have been read."""
         closed = []
         while len(self.connections) > self.max_connections:
             closed.append(self._evict(now))
         return closed
 
     def received(self, now: float, conn: int, proven: bool, partial: bool) -> None:
-        """Bytes came; `proven`: with a valid message among them; `partial`: the last one is incomplete."""
+        """Record received bytes. `proven`: they complete a valid message; `partial`: one is incomplete."""
         connection = self.connections.get(conn)
         if connection is None:
             return
@@ -88,14 +94,14 @@
         self._update_idle(conn, connection)
 
     def sessions_changed(self, conn: int, change: int) -> None:
-        """So many more (or fewer) sessions are open or stand on the connection."""
+        """Add `change` to the number of open and playing sessions of the connection."""
         connection = self.connections.get(conn)
         if connection is not None:
             connection.sessions = max(connection.sessions + change, 0)
             self._update_idle(conn, connection)
 
     def record_protocol_error(self, conn: int) -> bool:
-        """Count an invalid message; True if the connection is to be closed once it is answered."""
+        """Count an invalid message. Return True if the connection must be closed after the answer."""
         connection = self.connections.get(conn)
         if connection is None:
             return False
@@ -103,20 +109,20 @@
         return connection.protocol_errors == MAX_PROTOCOL_ERRORS
 
     def closed(self, conn: int) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         if self.connections.pop(conn, None) is not None:
             for group in (self._unproven, self._partial, self._idle):
                 group.pop(conn, None)
 
     def overdue(self, now: float) -> list[int]:
-        """Connections to close by now, each returned once."""
+        """Remove and return the connections whose time limit has passed."""
         overdue = dict.fromkeys(self._overdue_unproven(now) + self._overdue_partial(now))
         for conn in overdue:
             self.closed(conn)
         return list(overdue)
 
     def _update_idle(self, conn: int, connection: _Connection) -> None:
-        """Append the connection to the idle ones, or remove it from them."""
+        """Add the connection to the idle group or remove it from there."""
         if connection.proven and not connection.sessions and not connection.partial_since:
             self._idle.setdefault(conn, None)
         else:
@@ -141,14 +147,14 @@
         return late
 
     def _evict(self, now: float) -> int:
-        """Remove one connection in favour of the others."""
+        """Remove one connection to make room for the others."""
         conn = self._select_victim(now)
         self.rejected += 1
         self.closed(conn)
         return conn
 
     def _select_victim(self, now: float) -> int:
-        """The connection to evict, in the order that the module's docstring gives."""
+        """Return the connection to evict, in the order given in the module docstring."""
         new = self._oldest_new()
         if new is not None and now - self.connections[new].opened_at >= FIRST_BYTE_GRACE_MS:
             return new
@@ -164,7 +170,7 @@
         return next((conn for conn in self._partial if not self.connections[conn].sessions), newcomer)
 
     def _oldest_new(self) -> int | None:
-        """The oldest connection on which nothing was received; older unproven ones have begun a message."""
+        """Return the oldest connection without a received byte; older unproven ones have begun a message."""
         for conn in self._unproven:
             self.examined += 1
             if not self.connections[conn].partial_since:
--- a/foxlift/platform/discovery.py
+++ b/foxlift/platform/discovery.py
@@ -88,9 +88,9 @@
         reader = discovery_watch.FrameReader(
             max(config.zones, 1), max(len(module.kind_slots), 1), module.cells
         )
-        connection = DiscoveryConnection(self, reader)
+        opened = DiscoveryConnection(self, reader)
         try:
-            await self._loop.create_connection(lambda: connection, address.host, address.port)
+            await self._loop.create_connection(lambda: opened, address.host, address.port)
         except OSError as error:
             self._connecting = None
             self._director.count["coordinator not reached"] += 1
@@ -98,8 +98,8 @@
             self.handle(discovery_watch.ConnectionClosed())
             return
         self._connecting = None
-        if connection.transport is not None:
-            self.connection = connection
+        if opened.transport is not None:
+            self.connection = opened
             self.handle(discovery_watch.ConnectionOpened())
         else:
             self.handle(discovery_watch.ConnectionClosed())
@@ -108,6 +108,6 @@
         if self._connecting is not None:
             self._connecting.cancel()
             self._connecting = None
-        connection, self.connection = self.connection, None
-        if connection is not None and connection.transport is not None:
-            connection.transport.abort()
+        closing, self.connection = self.connection, None
+        if closing is not None and closing.transport is not None:
+            closing.transport.abort()
--- a/foxlift/platform/discovery_watch.py
+++ b/foxlift/platform/discovery_watch.py
@@ -1,18 +1,19 @@
-"""The coordinator's feed: frames read, and when to ask again. No I/O.
-
-    state    event                    next     what is done
-    (start)  Due                      OPENING  connect
-    OPENING  Opened                   OPEN     say which event was the last one held
-    OPEN     Frames with news         OPEN     tell it, once, in order
-    OPEN     gap, unreadable frame    WAITING  close, ask again from the last event held
-    OPEN     silent for SILENT_MS     WAITING  close, ask again
-    OPENING  not up for OPEN_MS       WAITING  close, ask again
-    any      Closed                   WAITING  ask again after a wait that doubles with each failure
-    any      Moved                    OPENING  close, connect to the new address at once
-    WAITING  Due                      OPENING  connect
-
-A drain counts as told while the feed is down, so waits are short: the first is near nothing, the longest half
-a second, each varied by the director's own random source so that a fleet does not return in step.
+"""The watch of the coordinator's server list: reads its frames and decides when to reconnect. No I/O.
+
+    state    event                            next     action
+    (none)   start                            OPENING  connect
+    OPENING  ConnectionOpened                 OPEN     request updates after the last one received
+    OPEN     frames with new updates          OPEN     deliver each update once, in order
+    OPEN     gap or invalid frame             WAITING  close, request again from the last update received
+    OPEN     nothing for SILENCE_TIMEOUT_MS   WAITING  close, reconnect
+    OPENING  not up in CONNECT_TIMEOUT_MS     WAITING  close, reconnect
+    any      ConnectionClosed                 WAITING  reconnect after a wait that doubles with each failure
+    any      AddressChanged                   OPENING  close, connect to the new address at once
+    WAITING  TimerExpired                     OPENING  connect
+
+The platform assumes that a director knows of a drain even while its watch is down, so waits are short: the
+first is 20 ms, the longest half a second, each with jitter from the director's own random source so that a
+fleet does not reconnect at the same moment.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 from foxlift import interface as fl
 from foxlift.platform.settings import Address, ListedServer, ListUpdate
 
-SILENCE_TIMEOUT_MS = 1800.0  # an empty frame comes each second; what is silent for longer has stopped
-CONNECT_TIMEOUT_MS = 700.0  # a connection that is not up by then is given up
+SILENCE_TIMEOUT_MS = 1800.0  # an empty frame is sent each second
+CONNECT_TIMEOUT_MS = 700.0  # time for a connection to come up
 FIRST_BACKOFF_MS = 20.0
 MAX_BACKOFF_MS = 500.0
-MAX_FRAME_BYTES = 27 * 65536 + 9  # bytes: a whole list of 65,536 boxes
-MAX_MISREADS = 3  # failures of one kind in a row after which the whole list is asked for anew
+MAX_FRAME_BYTES = 27 * 65536 + 9  # a full list of 65,536 servers
+MAX_MISREADS = 3  # consecutive gaps or invalid frames after which the full list is requested
 
 _FRAME_HEADER = struct.Struct(">IQB")
 _SERVER_RECORD = struct.Struct(">I4BHBBBHIQ")
@@ -38,33 +39,33 @@
 
 
 class ProtocolError(ValueError):
-    """The feed cannot be read any further."""
+    """The coordinator's bytes are invalid; the connection cannot be read any further."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame. `told` is None for an empty one."""
+    """One frame. `update` is None for an empty frame."""
 
     number: int
     update: ListUpdate | None
 
 
 class FrameReader:
-    """Cuts the coordinator's bytes into frames."""
+    """Parses the coordinator's bytes into frames."""
 
     def __init__(self, zones: int, kinds: int, cells: int) -> None:
-        """How many zones, kinds and cells the settings know; a record of another is unreadable."""
+        """Set the numbers of zones, kinds and cells in the settings; a record outside them is invalid."""
         self._bounds = zones, kinds, cells
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are whole by now. Raises Unreadable."""
+        """Add bytes and return the complete frames. Raises ProtocolError."""
         self._buffer += data
         frames: list[Frame] = []
         while len(self._buffer) >= 4:
             length = int.from_bytes(self._buffer[:4], "big")
             if not 9 <= length <= MAX_FRAME_BYTES:
-                raise ProtocolError(f"frame of {length} bytes")
+                raise ProtocolError(f"frame of {length} bytes, not of 9 to {MAX_FRAME_BYTES}")
             if len(self._buffer) < 4 + length:
                 break
             frames.append(self._frame(bytes(self._buffer[: 4 + length])))
@@ -85,7 +86,7 @@
         node, a, b, c, d, port, state, zone, kind, cell, weight, started = record
         zones, kinds, cells = self._bounds
         if state not in _STATUSES or zone >= zones or kind >= kinds or cell >= cells or not port:
-            raise ProtocolError("record of an unknown state, zone, kind or cell")
+            raise ProtocolError("record of an unknown status, zone, kind or cell, or without a port")
         info = fl.NodeInfo(node, zone, kind, cell, _STATUSES[state], weight / 1000, float(started))
         return ListedServer(info, Address(f"{a}.{b}.{c}.{d}", port))
 
@@ -93,7 +94,7 @@
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer of this machine's has come due; `turn` is the one it was started with."""
+    """A timer has expired; `timer_id` is that of its StartTimer."""
 
     timer_id: int
 
@@ -105,19 +106,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FramesReceived:
-    """Frames came."""
+    """Frames were received."""
 
     frames: tuple[Frame, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """The connection broke, could not be made, or could not be read."""
+    """The connection was lost or could not be made."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddressChanged:
-    """The coordinator has another address."""
+    """The configuration names this address of the coordinator."""
 
     address: Address
 
@@ -135,26 +136,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestUpdates:
-    """Write the number of the last event held."""
+    """Write `data`: the number of the last update received, or 0 for the full list."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close the connection, or stop making it."""
+    """Close the connection, or stop connecting."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverUpdate:
-    """An event of the coordinator that was not held yet."""
+    """Deliver an update of the coordinator that is new."""
 
     update: ListUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Send Due after so many milliseconds."""
+    """Send TimerExpired with this `timer_id` after `delay_ms`."""
 
     delay_ms: float
     timer_id: int
@@ -170,21 +171,21 @@
 
 
 class DiscoveryWatch:
-    """Which event was the last, and whether the feed is alive."""
+    """Keeps the number of the last update, the state of the connection and the time to reconnect."""
 
     def __init__(self, address: Address, number: int, seed: int) -> None:
         self.address, self.number = address, number
-        self.gaps = 0  # this and the next are for the log
+        self.gaps = 0  # number of gaps in the update numbers; like the next, for the log
         self.reconnects = 0
         self._random = Random(seed)
         self._state = _State.WAITING
-        self._timer_id = 0  # a timer of an earlier state says nothing of this one
+        self._timer_id = 0  # of the current timer; earlier timers are ignored
         self._failures = 0
-        self._misreads = 0  # gaps and unreadable feeds in a row
+        self._misreads = 0  # consecutive gaps and invalid frames
         self._last_received_at = 0.0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms."""
+        """Handle one event and return the actions; `now` in ms."""
         match event:
             case TimerExpired(timer_id):
                 return self._timer_expired(now, timer_id)
@@ -206,7 +207,7 @@
                 return [CloseConnection(), *self._connect()]
 
     def start(self) -> list[Action]:
-        """The first connection; nothing where a new address was told before, in the middle of the start."""
+        """Open the first connection, unless AddressChanged has already opened one."""
         return [] if self.reconnects else self._connect()
 
     def _start_timer(self, delay_ms: float) -> StartTimer:
@@ -245,7 +246,7 @@
                 continue
             full = frame.update.full
             if frame.number <= self.number and not (full and self._misreads >= MAX_MISREADS):
-                continue  # told twice, or an old list
+                continue  # already received, or an old list
             if not full and frame.number != self.number + 1:
                 self.gaps += 1
                 return [*actions, *self.resynchronize()]
@@ -254,7 +255,7 @@
         return actions
 
     def resynchronize(self) -> list[Action]:
-        """The feed cannot be read, or has left something out: ask again."""
+        """Reconnect after an invalid frame or a gap."""
         if self._state is not _State.OPEN:
             return []
         self._misreads = min(self._misreads + 1, MAX_MISREADS)
--- a/foxlift/platform/eviction.py
+++ b/foxlift/platform/eviction.py
@@ -1,6 +1,6 @@
-"""Which connection gives up its descriptor where a share is used up. No I/O.
+"""Selects the connection to close when a share of the descriptors is used up. No I/O.
 
-The shares stand in `descriptors`; which connection from clients is closed for a new one, in `admission`.
+The shares are defined in `descriptors`; `admission` selects among connections from clients.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from foxlift.platform.descriptors import MAX_CLOSING
 from foxlift.platform.server_pool import ServerPool
 
-MIN_LISTENING_MS = 1000.0  # a connection that sessions are heard on stays so long where others want the same
+# minimum time a connection stays open to receive messages about sessions when other servers need one too
+MIN_LISTENING_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionKey:
-    """Names one connection to a server."""
+    """Identifies one connection to a server."""
 
     node: int
     conn: int
@@ -26,11 +27,12 @@
 def select_connection_to_close(
     now: float, servers: Mapping[int, ServerPool], min_listening_ms: float
 ) -> ConnectionKey | None:
-    """The connection to close for another server's; None where each is in use. `now` in ms.
+    """Return the connection to close in favour of another server, or None if all are in use. `now` in ms.
 
-    None with a set-up out is closed. One that no session is heard on goes first, the longest unused before
-    others; then the oldest of those that sessions are heard on, so that servers take turns: what a server
-    has to say meanwhile it says on the next connection, by the protocol. These stay `min_listening_ms`.
+    Connections with an unanswered set-up are not closed. Connections that are not needed to receive messages
+    about sessions come first, longest unused first. Then come those that are needed for it and have been open
+    for `min_listening_ms`, oldest first, so that servers take turns: by the protocol, a server sends what it
+    has to report on the next connection.
     """
     idle: list[tuple[bool, float, ConnectionKey]] = []
     for node, server in servers.items():
@@ -47,20 +49,20 @@
 
 
 class Abortable(Protocol):
-    """A connection that can be cut."""
+    """A connection that can be aborted."""
 
     def abort(self) -> None:
-        """Cut it; what is unsent is lost."""
+        """Close at once and discard unsent bytes."""
 
 
 @dataclass(slots=True)
 class ClosingConnections:
-    """Closed connections whose last bytes the other side has not taken. Never more than `MAX_CLOSING`."""
+    """At most `MAX_CLOSING` closed connections with bytes that the peer has not received yet."""
 
-    closing: dict[Abortable, None] = field(default_factory=dict)  # in order of their close
+    closing: dict[Abortable, None] = field(default_factory=dict)  # in order of closing
 
     def add(self, connection: Abortable) -> None:
-        """It was closed with bytes unsent; the longest closed gives way where there are too many."""
+        """Add a connection closed with unsent bytes; abort the one closed first if there are too many."""
         self.closing[connection] = None
         if len(self.closing) > MAX_CLOSING:
             oldest = next(iter(self.closing))
@@ -68,5 +70,5 @@
             oldest.abort()
 
     def discard(self, connection: Abortable) -> None:
-        """It is over."""
+        """Remove a connection whose transport has closed."""
         self.closing.pop(connection, None)
--- a/foxlift/platform/loop_lag.py
+++ b/foxlift/platform/loop_lag.py
@@ -1,30 +1,30 @@
 """Event-loop lag: how long received bytes may have waited unread in the kernel. No I/O.
 
-A client's time runs from its last byte, not from when this process reads it. The event loop's clock stands at
-its last poll, so the time that a turn of the loop takes itself is not lost. But what a poll finds may have
-arrived at any moment since the poll before, if the loop was busy all the time between the two.
+A client's deadline counts from its last byte, not from the moment this process reads it. The event loop's
+clock keeps the time of its last poll, so time spent in the current iteration is accounted for. But bytes that
+a poll finds may have arrived at any moment since the previous poll, if the loop was busy between the two.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-IDLE_POLL_MS = 1.5  # a loop that polls again within this after its work was not waiting for events
-MIN_LAG_MS = 4.0  # less than this is the clock's own resolution
+IDLE_POLL_MS = 1.5  # a loop that polls again this soon after its work did not wait for events
+MIN_LAG_MS = 4.0  # smaller values are within the clock's resolution
 
 
 @dataclass(slots=True)
 class EventLoopLag:
-    """Estimates the queueing delay of what the current turn of the loop reads."""
+    """Estimates the queueing delay of the bytes read in the current iteration of the loop."""
 
-    polled_at: float = 0.0  # of the last turn with work: when the loop polled, ms
-    done_at: float = float("-inf")  # when that work was finished
-    queueing_delay: float = 0.0  # of this turn's bytes, at most
+    polled_at: float = 0.0  # time of the poll of the last iteration with work, ms
+    done_at: float = float("-inf")  # time at which that work ended, ms
+    queueing_delay: float = 0.0  # upper bound for the bytes of this iteration, ms
 
     def work_begins(self, polled_at: float) -> float:
-        """Some work of the turn that polled then begins; the queueing delay of what it reads, ms.
+        """Start work in the iteration that polled at `polled_at`; return its bytes' queueing delay, ms.
 
-        To be called before any work of a turn, as `work_ends` after it.
+        Call it before any work of an iteration, and `work_ends` after it.
         """
         if polled_at != self.polled_at:
             waited = polled_at - self.polled_at
@@ -34,5 +34,5 @@
         return self.queueing_delay
 
     def work_ends(self, now: float) -> None:
-        """Some work of the turn is finished."""
+        """Record that work of the iteration has ended."""
         self.done_at = now
--- a/foxlift/platform/rtsp.py
+++ b/foxlift/platform/rtsp.py
@@ -1,18 +1,18 @@
-"""RTSP as media boxes speak it: bytes in, messages out, answers and requests mixed on one connection.
+"""Codec of RTSP as media servers use it: responses and requests mixed on one connection.
 
-Strict on purpose. What a box sends is passed on to a viewer as proof of a session, so a message is either
-whole and well formed or the connection is of no further use: a length that does not fit, a byte that belongs
-to no message, a doubled or missing header that tells messages apart end the reading for good. Every message
-is bounded by `MAX_MESSAGE` before anything is kept of it.
+It is strict because a server's answer is passed on to a viewer as proof of a session. Either a message is
+complete and well formed or the connection is not read any further: a wrong length, a byte outside a message,
+or a repeated or missing header among those that identify a message raises `ProtocolError`. Every message is
+checked against `MAX_MESSAGE_BYTES` before any of it is kept.
 
-Grammar: RFC 2326, sections 4 and 6 to 7, without continuation lines, which the boxes do not send.
+Grammar: RFC 2326, sections 4 and 6 to 7, without continuation lines, which the servers do not send.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes, head and body together
+MAX_MESSAGE_BYTES = 16 * 1024  # head and body together
 PING_CSEQ = 3
 _MESSAGE_PREFIXES = (
     b"RTSP/1.0 ",
@@ -23,18 +23,16 @@
     b"SET_PARAMETER ",
     b"REDIRECT ",
 )
-_UNIQUE_HEADERS = frozenset(
-    ("cseq", "session", "content-length")
-)  # twice in one message: it cannot be told apart
+_UNIQUE_HEADERS = frozenset(("cseq", "session", "content-length"))  # if repeated, a message is ambiguous
 
 
 class ProtocolError(ValueError):
-    """What came cannot be read; nothing later on the connection can be."""
+    """The bytes are invalid; the connection cannot be read any further."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response. `session` is empty where it names none."""
+    """A response. `session` is empty if it has no Session header."""
 
     status: int
     cseq: int
@@ -45,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request of the box's own: a release or a note."""
+    """A request of the server: a release or a note."""
 
     method: str
     cseq: int
@@ -58,7 +56,7 @@
 
 
 class MessageReader:
-    """Cuts one connection's bytes into messages."""
+    """Parses the bytes of one connection into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -66,17 +64,17 @@
 
     @property
     def pending(self) -> int:
-        """Bytes of a message that is not whole yet."""
+        """Number of bytes of an incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take bytes in; the messages that are whole by now. Raises Spoilt, then for ever.
+        """Add bytes and return the complete messages. Raises ProtocolError, then on every later call.
 
-        What stands before something unreadable in the same read is not given out: where a length does not
-        fit, the message before the damage is the damaged one.
+        Messages that precede an invalid one in the same read are not returned: if a length was wrong, the
+        message before the invalid bytes is the corrupt one.
         """
         if self._failed:
-            raise ProtocolError("after an unreadable message")
+            raise ProtocolError("data after an invalid message")
         self._buffer += data
         found: list[Message] = []
         try:
@@ -94,16 +92,16 @@
     def _next(self) -> Message | None:
         buffer = self._buffer
         if not any(buffer.startswith(start[: len(buffer)]) for start in _MESSAGE_PREFIXES):
-            raise ProtocolError("no message begins like this")
+            raise ProtocolError("message starts with neither RTSP/1.0 nor a known method")
         end = buffer.find(b"\r\n\r\n", 0, MAX_MESSAGE_BYTES)
         if end < 0:
             if len(buffer) >= MAX_MESSAGE_BYTES:
-                raise ProtocolError("head without end")
+                raise ProtocolError(f"head exceeds {MAX_MESSAGE_BYTES} bytes")
             return None
         first, headers = _head(bytes(buffer[:end]))
         length = _number(headers.get("content-length"), "Content-Length", MAX_MESSAGE_BYTES)
         if end + 4 + length > MAX_MESSAGE_BYTES:
-            raise ProtocolError("message too long")
+            raise ProtocolError(f"message of {end + 4 + length} bytes exceeds {MAX_MESSAGE_BYTES}")
         if len(buffer) < end + 4 + length:
             return None
         body = bytes(buffer[end + 4 : end + 4 + length])
@@ -121,18 +119,18 @@
         name, colon, value = line.partition(":")
         key = name.lower()
         if not colon or not name or name != name.strip() or not line.isprintable():
-            raise ProtocolError("header line without a name")
+            raise ProtocolError("malformed header line")
         if key in _UNIQUE_HEADERS and key in headers:
-            raise ProtocolError(f"two {name} headers")
+            raise ProtocolError(f"repeated {name} header")
         headers[key] = value.strip()
     if not lines[0].isprintable():
-        raise ProtocolError("first line is not text")
+        raise ProtocolError("first line has unprintable characters")
     return lines[0].split(" ", 2), headers
 
 
 def _number(text: str | None, name: str, maximum: int) -> int:
     if text is None or not (text.isascii() and text.isdigit()) or len(text) > 10 or int(text) > maximum:
-        raise ProtocolError(f"{name} is missing or makes no sense")
+        raise ProtocolError(f"{name} is missing or not a number up to {maximum}")
     return int(text)
 
 
@@ -141,15 +139,15 @@
     session = headers.get("session", "")
     if first[0] == "RTSP/1.0":
         if len(first) < 2 or len(first[1]) != 3 or not (first[1].isascii() and first[1].isdigit()):
-            raise ProtocolError("no status")
+            raise ProtocolError("response without a status of three digits")
         return Response(int(first[1]), cseq, session, headers, body)
     if len(first) != 3 or first[2] != "RTSP/1.0" or not first[1].startswith("rtsp://media/"):
-        raise ProtocolError("no request line")
+        raise ProtocolError("malformed request line")
     return Request(first[0], cseq, session, headers, body)
 
 
 def is_failed_ping(message: Message) -> bool:
-    """Whether it says that the connection does not work."""
+    """Return whether the message answers a ping with an error."""
     return isinstance(message, Response) and message.cseq == PING_CSEQ and message.status != 200
 
 
@@ -160,28 +158,28 @@
 
 
 def setup(session: str, title: str, klass: str, rung: int, within_ms: int, body: bytes) -> bytes:
-    """Ask the box for a session; `within_ms`: how long this director will wait."""
+    """Request a session of the server; `within_ms`: how long this director will wait."""
     more = f"Call-Kind: {klass}\r\nAnswer-Within: {within_ms}\r\nX-Quality: {rung}\r\n"
     return _request("SETUP", title, 1, session, more, body)
 
 
 def cancel_setup(session: str) -> bytes:
-    """Take a set-up back that has no answer."""
+    """Cancel an unanswered set-up."""
     return _request("TEARDOWN", session, 2, session)
 
 
 def release(session: str, cause: int) -> bytes:
-    """End a session that stands."""
+    """End a playing session."""
     return _request("TEARDOWN", session, 2, session, f"Reason: cause={cause}\r\n")
 
 
 def set_rung(session: str, rung: int) -> bytes:
-    """Set the rung of a session; wants no answer."""
+    """Set the rung of a session; not answered."""
     return _request("SET_PARAMETER", session, 4, session, f"X-Quality: {rung}\r\n")
 
 
 def move(session: str) -> bytes:
-    """Take a session off the box because its viewer comes again; wants no answer."""
+    """End a session because its viewer requests it again elsewhere; not answered."""
     return _request("REDIRECT", session, 5, session)
 
 
@@ -191,6 +189,6 @@
 
 
 def confirm_release(request: Request) -> bytes:
-    """A release of the box's was heard."""
+    """Confirm a release by the server."""
     named = f"CSeq: {request.cseq}\r\nSession: {request.session}\r\n"
     return f"RTSP/1.0 200 OK\r\n{named}Content-Length: 0\r\n\r\n".encode()
--- a/foxlift/platform/server_connections.py
+++ b/foxlift/platform/server_connections.py
@@ -153,7 +153,7 @@
                 self._open(node, conn, within_ms)
             case server_pool.UseConnection(conn, key):
                 self._setups.add(PendingSetup(node, conn, key))
-            case server_pool.SetupNotSent(key):
+            case server_pool.SetupUnreachable(key):
                 self._director.notify_core(ev.SetupNotSent(key, node))
             case server_pool.PingConnection(conn):
                 self._ping(node, conn)
@@ -251,13 +251,13 @@
             return
         if connection.transport.get_write_buffer_size():
             # the machine takes nothing: what waits here leaves as the server reads, long after its client did
-            self.handle(node, server_pool.SetupFinished(conn))
+            self.handle(node, server_pool.SlotReleased(conn))
             self._director.notify_core(ev.SetupNotSent(key, node))
             return
         self._director.note_reset_client(key)
         data = self._director.core.take_setup(self._director.timeline.now(), key, node, conn)
         if data is None:
-            self.handle(node, server_pool.SetupFinished(conn))
+            self.handle(node, server_pool.SlotReleased(conn))
         else:
             connection.send(data)
 
--- a/foxlift/platform/server_pool.py
+++ b/foxlift/platform/server_pool.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetupFinished:
+class SlotReleased:
     """A set-up that had left on the connection has its end."""
 
     conn: int
@@ -125,7 +125,7 @@
     | ConnectionOpened
     | ConnectionLost
     | DataReceived
-    | SetupFinished
+    | SlotReleased
     | SessionsChanged
     | ServerRemoved
     | ConnectionYielded
@@ -152,7 +152,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetupNotSent:
+class SetupUnreachable:
     """No connection for the set-up: nothing of it has left."""
 
     key: int
@@ -194,7 +194,7 @@
 Action = (
     OpenConnection
     | UseConnection
-    | SetupNotSent
+    | SetupUnreachable
     | PingConnection
     | CloseConnection
     | RetireConnection
@@ -239,7 +239,7 @@
                 return self._data_received(now, conn)
             case SetupQueued(key):
                 return self._queue_setup(now, key)
-            case SetupFinished(conn):
+            case SlotReleased(conn):
                 return self._slot_released(now, conn)
             case SetupCancelled(key):
                 self.waiting = deque(wait for wait in self.waiting if wait[0] != key)
@@ -345,8 +345,8 @@
         conn = self.connections.get(name)
         if conn is None:
             return []
-        conn.last_received_at, pinged_at, conn.pinged_at = now, conn.pinged_at, 0.0
-        if not (pinged_at and self.waiting and conn.up) or conn.outdated:
+        conn.last_received_at, ping_sent_at, conn.pinged_at = now, conn.pinged_at, 0.0
+        if not (ping_sent_at and self.waiting and conn.up) or conn.outdated:
             return []
         # what came while it was tested waits for it, where there was no room for another connection
         opening = sum(1 for c in self.connections.values() if not c.up)
@@ -376,7 +376,7 @@
             self.connect_requested = False
             actions.append(DiscardUnsent())
         if not conn.up and self.waiting:
-            actions.append(SetupNotSent(self.waiting.popleft()[0]))
+            actions.append(SetupUnreachable(self.waiting.popleft()[0]))
         if self.sessions and not any(c.up for c in self.connections.values()):
             if refused or self.is_removed:
                 return [*actions, SessionsLost("refused" if refused else "gone")]
@@ -397,7 +397,7 @@
         for name in [name for name, conn in self.connections.items() if not conn.up]:
             del self.connections[name]
             actions.append(CloseConnection(name))
-        actions += [SetupNotSent(key) for key, _ in self.waiting]
+        actions += [SetupUnreachable(key) for key, _ in self.waiting]
         self.waiting.clear()
         return actions
 
--- a/foxlift/platform/session_endings.py
+++ b/foxlift/platform/session_endings.py
@@ -1,26 +1,30 @@
-"""Ends that cross: releases on their way to boxes, and words on sessions that are not known yet. No I/O.
-
-    release    event                              next      what is done
-    (none)     Sent                               SENT
-    SENT       Heard by the box                   (none)
-    SENT       a connection to the box is over    SENT      sent again: it may have been on it
-    SENT       KEPT_MS, the box is gone           (none)    a connection that stood so long has carried it
-
-    set-up     event                              next      what is done
-    (none)     given up on a connection           OLD       an answer to its id there is not a later one's
-    OLD        the box confirms it, KEPT_MS       (none)
-
-    session    event                              next      what is done
-    unknown    its box says that it is over       OVER      remembered
-    unknown    its viewer ends it                 ENDED     remembered
-    known      it is over                         PAST      remembered
-    OVER       it is handed over                  (none)    its viewer is told
-    ENDED      it is handed over                  (none)    its box is told
-    PAST       it is handed over                  PAST      nothing: both were told
-
-A director that has just started opens connections for the first session that is handed over to it, and its
-box sends all ends that it still owes on them: of sessions, too, that are handed over a moment later. Nobody
-says such an end twice.
+"""Session ends that cross other messages: unconfirmed releases, abandoned set-ups, ends of unknown sessions.
+
+No I/O. "Released" and "ended" refer to a session at a media server.
+
+    release    event                              next      action
+    (none)     release sent                       SENT
+    SENT       confirmed by the server            (none)
+    SENT       a connection to the server closes  SENT      sent again, as it may have been lost on it
+    SENT       RELEASE_RETENTION_MS               (none)    connections open for that long have delivered it
+    SENT       MAX_SENDS reached, server removed  (none)
+
+    set-up     event                              next       action
+    (none)     abandoned on a connection          ABANDONED  an answer there does not belong to a later set-up
+    ABANDONED  confirmed, RELEASE_RETENTION_MS    (none)
+
+    session    event                              next      action
+    unknown    its server reports its end         SERVER    recorded
+    unknown    its viewer ends it                 VIEWER    recorded
+    known      it ends                            EARLIER   recorded
+    SERVER     handed over                        SERVER    the viewer gets the release
+    VIEWER     handed over                        VIEWER    the server gets the release
+    EARLIER    handed over                        EARLIER   none: viewer and server were both notified
+    any        END_RETENTION_MS                   (none)
+
+A director that has just started opens connections for the first session handed over to it. On these, the
+server sends all ends it still has to report, including ends of sessions that are handed over a moment later.
+No side reports such an end twice, so it is recorded until the handover arrives.
 """
 
 from __future__ import annotations
@@ -30,12 +34,12 @@
 
 RELEASE_RETENTION_MS = 5000.0
 MAX_SENDS = 3
-END_RETENTION_MS = 10_000.0  # hand-overs come as soon as a start's first test is passed; this is ample
-MAX_ENTRIES = 4096  # of each kind; the oldest goes
+END_RETENTION_MS = 10_000.0  # handovers arrive as soon as the first ping after a start is answered
+MAX_ENTRIES = 4096  # in each table; beyond it the oldest is dropped
 
 
 class EndSource(Enum):
-    """Who said that a session is over."""
+    """Which side reported the end of a session."""
 
     SERVER = "its box"
     VIEWER = "its viewer"
@@ -51,22 +55,24 @@
 
 @dataclass(slots=True)
 class SessionEndings:
-    """Releases at boxes that are not confirmed, and ends of sessions that nobody here knows."""
+    """Unconfirmed releases sent to servers, abandoned set-ups, and recorded ends of sessions."""
 
-    resent: int = 0  # sent again, for the log
-    _sent: dict[tuple[int, str], _Sent] = field(default_factory=dict)  # by box and id, oldest first
-    _sent_to: dict[int, dict[str, None]] = field(default_factory=dict)  # the same ids by box, oldest first
-    # set-ups that were given up: box, connection and id, since when, oldest first
+    resent: int = 0  # number of releases sent again, for the log
+    _sent: dict[tuple[int, str], _Sent] = field(default_factory=dict)  # by server and tag, oldest first
+    _sent_to: dict[int, dict[str, None]] = field(
+        default_factory=dict
+    )  # the same tags by server, oldest first
+    # abandoned set-ups by server, connection and tag: time of abandoning; oldest first
     _abandoned: dict[tuple[int, int, str], float] = field(default_factory=dict)
     _ends: dict[str, tuple[float, EndSource, int, int]] = field(
         default_factory=dict
-    )  # by id: when, who, box, cause
+    )  # by tag: time, source, server, cause
 
     def __len__(self) -> int:
         return len(self._sent)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old to matter."""
+        """Drop entries past their retention time."""
         while self._sent and now - next(iter(self._sent.values())).since > RELEASE_RETENTION_MS:
             self._forget(*next(iter(self._sent)))
         while self._ends and now - next(iter(self._ends.values()))[0] > END_RETENTION_MS:
@@ -75,14 +81,14 @@
             del self._abandoned[next(iter(self._abandoned))]
 
     def release_sent(self, now: float, node: int, tag: str, data: bytes) -> None:
-        """A release of a session that stood is on its way to its box."""
+        """Record the release of a playing session that was sent to its server."""
         self._sent[node, tag] = _Sent(now, data)
         self._sent_to.setdefault(node, {})[tag] = None
         if len(self._sent) > MAX_ENTRIES:
             self._forget(*next(iter(self._sent)))
 
     def _forget(self, node: int, tag: str) -> None:
-        """Forget a release, if it is kept."""
+        """Drop a release, if it is recorded."""
         if self._sent.pop((node, tag), None) is not None:
             tags = self._sent_to[node]
             del tags[tag]
@@ -90,23 +96,23 @@
                 del self._sent_to[node]
 
     def setup_abandoned(self, now: float, node: int, conn: int, tag: str) -> None:
-        """A set-up that has no answer was given up on a connection."""
+        """Record that an unanswered set-up was abandoned on a connection."""
         self._abandoned[node, conn, tag] = now
         if len(self._abandoned) > MAX_ENTRIES:
             del self._abandoned[next(iter(self._abandoned))]
 
     def is_abandoned(self, now: float, node: int, conn: int, tag: str) -> bool:
-        """Whether an answer there may still be the one of a set-up that was given up."""
+        """Return whether an answer on the connection may belong to an abandoned set-up."""
         since = self._abandoned.get((node, conn, tag))
         return since is not None and now - since <= RELEASE_RETENTION_MS
 
     def confirmed(self, node: int, conn: int, tag: str) -> None:
-        """The box confirmed a release, or that a set-up is given up: what it said of that came before."""
+        """The server confirmed a release or an abandoned set-up; no answer to the latter can follow."""
         self._forget(node, tag)
         self._abandoned.pop((node, conn, tag), None)
 
     def connection_lost(self, now: float, node: int) -> list[bytes]:
-        """A connection to the box is over: what may have been on it is to be sent again."""
+        """A connection to the server closed: return the releases to send again, as any may have been lost."""
         found: list[bytes] = []
         for tag in list(self._sent_to.get(node, ())):
             release_sent = self._sent[node, tag]
@@ -119,18 +125,18 @@
         return found
 
     def server_removed(self, node: int) -> None:
-        """The box is no more, and its sessions with it."""
+        """The server no longer exists, nor do its sessions."""
         for tag in self._sent_to.pop(node, ()):
             del self._sent[node, tag]
 
     def record_end(self, now: float, tag: str, source: EndSource, node: int = 0, cause: int = 0) -> None:
-        """A session is over that is not known, or no longer. The first word holds."""
+        """Record the end of a session that is unknown or no longer known. The first report holds."""
         self._ends.setdefault(tag, (now, source, node, cause))
         if len(self._ends) > MAX_ENTRIES:
             del self._ends[next(iter(self._ends))]
 
     def find_end(self, now: float, tag: str, node: int) -> tuple[EndSource, int] | None:
-        """Whether a session that is handed over, at this box, is over, and with which cause."""
+        """Return source and cause of the end of a session handed over at this server, if it has ended."""
         found = self._ends.get(tag)
         if (
             found is None
--- a/foxlift/platform/settings.py
+++ b/foxlift/platform/settings.py
@@ -1,7 +1,7 @@
-"""What the platform tells a director: the JSON file named by BALANCER_CONFIG, read into typed forms.
+"""The platform's configuration of a director: reads the JSON file named by BALANCER_CONFIG.
 
-Every error names the path of the field that is at fault. The file is read again at SIGHUP, and what it then
-says of the coordinator is taken over; the rest holds for the life of the process.
+Every error names the path of the invalid field. The file is read again at SIGHUP, but only the coordinator's
+address is applied then; all else stays unchanged until the process ends.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from foxlift.platform.viewers import node_number
 from foxlift.wiresettings import LOAD_FIELDS, Params, SettingsError, settings_of
 
-MAX_CONFIG_BYTES = 16 * 1024 * 1024  # bytes
+MAX_CONFIG_BYTES = 16 * 1024 * 1024
 PHASES = {"active": fl.Status.READY, "leaving": fl.Status.DRAINING, "left": fl.Status.GONE}
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the message names the field."""
+    """The configuration is invalid; the message names the field."""
 
 
 class _Member(msgspec.Struct):
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where to connect."""
+    """A host and port to connect to."""
 
     host: str
     port: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One entry of the coordinator's list; `info` is what the module is told of it."""
+    """One entry of the coordinator's list; `info` is the part passed to the module."""
 
     info: fl.NodeInfo
     address: Address
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """One event of the coordinator: the whole list or what has changed."""
+    """One update by the coordinator: the full list or its changes."""
 
     number: int
     full: bool
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one director starts from."""
+    """The configuration of one director."""
 
     name: str
     listen: Address
@@ -103,30 +103,30 @@
     module: fl.Settings
     class_names: dict[str, int]
     tenant_names: dict[str, int]
-    columns: frozenset[str]  # of a load report, as the module can use them
+    columns: frozenset[str]  # of a load report, those that the module can use
     idle_ms: float
-    max_streams: int  # set-ups at once on one connection to a box
-    zones: int  # how many the settings name
+    max_streams: int  # concurrent set-ups on one connection to a server
+    zones: int  # number of zones in the settings
     known: tuple[ListUpdate, ...]
     known_number: int
 
 
 def address(text: str, path: str) -> Address:
-    """Read address:port."""
+    """Parse address:port. Raises ConfigError."""
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
         raise ConfigError(f"{path}: {text[:40]!r} is not address:port")
     try:
-        socket.inet_pton(socket.AF_INET, host)  # names cannot be looked up here
+        socket.inet_pton(socket.AF_INET, host)  # host names cannot be resolved here
     except OSError as error:
         raise ConfigError(f"{path}: {text[:40]!r} is not address:port") from error
     return Address(host, int(port))
 
 
 def read(data: bytes) -> Config:
-    """Turn the file's bytes into a Config. Raises ConfigError."""
+    """Parse the bytes of the file. Raises ConfigError."""
     if len(data) > MAX_CONFIG_BYTES:
-        raise ConfigError(f"the file is larger than {MAX_CONFIG_BYTES} bytes")
+        raise ConfigError(f"the file has {len(data)} bytes, more than {MAX_CONFIG_BYTES}")
     try:
         raw = msgspec.json.decode(data, type=_Config)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
@@ -148,7 +148,7 @@
     except ValueError as error:
         raise ConfigError(f"seed: {raw.seed[:40]!r} is not hexadecimal") from error
     if raw.limits.sockets < 64:
-        raise ConfigError(f"limits.sockets: {raw.limits.sockets} is less than a director can work with (64)")
+        raise ConfigError(f"limits.sockets: {raw.limits.sockets} is less than the minimum of 64")
     known = tuple(
         ListUpdate(
             update.index,
@@ -174,24 +174,28 @@
         max_streams=max_streams,
         zones=len(zones),
         known=known,
-        known_number=max([raw.known.index, *(update.number for update in known)]),
+        known_number=max([raw.known.index, *(known_update.number for known_update in known)]),
     )
 
 
 def _validate(module: fl.Settings) -> None:
-    """What the module takes for granted. Raises ConfigError."""
+    """Check what the module relies on. Raises ConfigError."""
     rungs = len(module.ladder_kb)
     info, rules = "settings.family_info.", "settings.invariants."
     rising = all(a < b for a, b in zip((0.0, *module.ladder_kb), module.ladder_kb, strict=False))
     for valid, path, what in (
         (bool(module.classes), "settings.categories", "names no class"),
-        (rungs > 0 and rising, info + "ladder_kb", "does not rise from above 0"),
-        (len(module.ladder_worth) == rungs, info + "ladder_worth", "has not a worth for each rung"),
+        (rungs > 0 and rising, info + "ladder_kb", "is not strictly increasing from above 0"),
+        (len(module.ladder_worth) == rungs, info + "ladder_worth", "does not have one worth for each rung"),
         (module.cells > 0, info + "cells", "is not above 0"),
-        (module.racks >= 0, info + "racks", "is under 0"),
+        (module.racks >= 0, info + "racks", "is below 0"),
         (module.link_kb_per_weight > 0, info + "kb_per_weight", "is not above 0"),
         (bool(module.kind_slots) and min(module.kind_slots) > 0, info + "kind_slots", "is not above 0"),
-        (0 <= module.director < module.directors, "settings.ordinal", "is not under settings.balancers"),
+        (
+            0 <= module.director < module.directors,
+            "settings.ordinal",
+            "is not in the range from 0 to settings.balancers - 1",
+        ),
         (module.cold_from > 0, rules + "cold_from", "is not above 0"),
         (module.cold_multiple > 0, rules + "fall_multiple", "is not above 0"),
         *(
@@ -217,11 +221,11 @@
     try:
         number = node_number(member.id)
     except ValueError as error:
-        raise ConfigError(f"{path}.id: {member.id[:40]!r} is not a box's name") from error
+        raise ConfigError(f"{path}.id: {member.id[:40]!r} is not a server's name") from error
     if member.phase not in PHASES:
-        raise ConfigError(f"{path}.phase: {member.phase[:40]!r} is not known")
+        raise ConfigError(f"{path}.phase: {member.phase[:40]!r} is not a known phase")
     if not 0 <= member.cell < cells:
-        raise ConfigError(f"{path}.cell: {member.cell} is not under {cells}")
+        raise ConfigError(f"{path}.cell: {member.cell} is not in the range from 0 to {cells - 1}")
     info = fl.NodeInfo(
         node=number,
         zone=_index(member.locality, zones, path + ".locality"),
--- a/foxlift/platform/setups.py
+++ b/foxlift/platform/setups.py
@@ -1,21 +1,21 @@
-"""Set-ups that have a connection to their server, until they are written.
-
-    set-up   event                                        next     what is done
-    (none)   add                                          QUEUED   nothing
-    QUEUED   the loop comes to its next callbacks         READING  its sockets are read after these
-    READING  every socket was read                        (none)   write
-    READING  the same, but the client's has an end or     QUEUED   nothing: the next turns read it
-             error that was not read, or anything
-             while the reading began too long ago
-
-A client that has left must get no attempt, and its cancel or end of stream may lie unread behind what let
-its set-up go. So each set-up waits for one whole reading of the sockets that begins after it was queued, and
-one that joins in the middle of a reading waits for the next. Bytes and the end of a connection, ready
-together, are read a turn apart: the socket itself is asked for an end that is still to be read.
-
-One reading may itself take long, with many sockets ready or a process that stood still. Then the client's
-socket must hold nothing unread at all, for that may be a cancel. The loop's own time cannot tell: it is taken
-once a turn, before the sockets are read.
+"""Queue of set-ups that have a connection to their server and wait to be written.
+
+    set-up   event                                        next     action
+    (none)   add                                          QUEUED   none
+    QUEUED   the loop runs its next callbacks             READING  the loop reads its sockets after these
+    READING  all sockets have been read                   (none)   write
+    READING  the same, but the client's socket has an     QUEUED   none: the next iterations read it
+             unread end of stream or error, or any
+             unread bytes after MAX_READING_AGE_MS
+
+No attempt may be made for a client that has left, and its cancel or end of stream may still be unread when
+its set-up becomes ready to be written. Each set-up therefore waits for one complete pass over the sockets
+that begins after it was queued; one queued during a pass waits for the next. The loop reads bytes and the end
+of the same connection in different iterations, so the socket itself is polled for an unread end of stream.
+
+A pass may take long when many sockets are ready or the process was suspended. In that case the client's
+socket must have no unread bytes at all, since they may be a cancel. The loop's clock cannot be used to
+measure this: it is updated once per iteration, before the sockets are read.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_READING_AGE_MS = 80.0  # a client that left 100 ms ago gets no attempt; the rest is for the write itself
+MAX_READING_AGE_MS = 80.0  # no attempt for a client that left 100 ms ago; 20 ms remain for the write
 
 
 class ClientSocket(Enum):
-    """What a client's socket holds that was not read yet."""
+    """What is unread on a client's socket."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingSetup:
-    """A set-up and the connection to its server that is kept for it."""
+    """A set-up and the connection to its server that is reserved for it."""
 
     node: int
     connection: int
@@ -47,9 +47,9 @@
 
 
 class SetupQueue:
-    """Writes each set-up once its client's socket was read.
+    """Writes each set-up once its client's socket has been read.
 
-    `client_socket` tells what the socket of a set-up's client holds at this moment.
+    `client_socket` returns what is currently unread on the socket of a set-up's client.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self._queued: list[PendingSetup] = []
 
     def add(self, setup: PendingSetup) -> None:
-        """Write the set-up after the next whole reading of the sockets."""
+        """Write the set-up after the next complete pass over the sockets."""
         self._queued.append(setup)
         if len(self._queued) == 1:
             self._loop.call_soon(self._before_reading)
 
     def _before_reading(self) -> None:
-        """The loop reads its sockets between this call and the one that is asked for here."""
+        """Schedule `_after_reading`; the loop reads its sockets before it runs."""
         setups, self._queued = self._queued, []
         self._loop.call_soon(self._after_reading, setups, time.monotonic())
 
--- a/foxlift/platform/stop.py
+++ b/foxlift/platform/stop.py
@@ -1,20 +1,21 @@
-"""When a director that was told to stop may end. No I/O.
-
-    state     event                                   next      what is done
-    SERVING   Told                                    STAYING
-    STAYING   Look, requests may still arrive         STAYING
-    STAYING   Look, something is owed                 STAYING
-    STAYING   Look, the last moments for answers      STAYING   every request still open gets its answer
-    STAYING   Look, nothing owed or no time left      LOOKING   look at the sockets again
-    LOOKING   Look, something came or is owed         STAYING   unless no time is left
-    LOOKING   the LOOKS-th Look with nothing new      ENDED     end
-
-Why the looks: when nothing is owed by what was read, a request may lie in the machine's buffers or in the
-accept queue, and it was taken all the same. One turn of the loop accepts, the next reads, the next hears an
-end.
-
-Why the last moment: the platform kills a director its longest deadline (at most `MOST_DEADLINE_MS`) and
-`ARRIVE_MS` after it told it to stop; what is answered by then has its answer.
+"""Decides when a director that received a stop signal may exit. No I/O.
+
+    state     event                                   next      action
+    SERVING   begin                                   DRAINING
+    DRAINING  check, requests may still arrive        DRAINING
+    DRAINING  check, work is pending                  DRAINING
+    DRAINING  check, FINAL_ANSWERS_MS before the kill DRAINING  answer every open request
+    DRAINING  check, nothing pending or out of time   CHECKING  check the sockets again
+    CHECKING  check, new input, not out of time       CHECKING  the count of quiet checks starts again
+    CHECKING  check, work is pending, not out of time DRAINING
+    CHECKING  MIN_QUIET_CHECKS checks, nothing new    ENDED     exit
+
+Several quiet checks are needed because a request may still lie in the kernel's buffers or accept queue after
+all received requests are answered, and such a request counts as accepted. One iteration of the loop accepts a
+connection, the next reads it, the next sees its end.
+
+Open requests are answered shortly before the kill, as only answers sent before it count. The platform kills a
+director ARRIVAL_WINDOW_MS plus its longest deadline (at most `MAX_DEADLINE_MS`) after the stop signal.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ARRIVAL_WINDOW_MS = 700.0  # after the word to stop: so long requests may still arrive, by the protocol page
-MAX_DEADLINE_MS = 3000.0  # the page counts no deadline as longer here
+ARRIVAL_WINDOW_MS = 700.0  # by the protocol page, requests may arrive this long after the stop signal
+MAX_DEADLINE_MS = 3000.0  # the protocol page caps deadlines at this value for the stop
 ARRIVAL_SLACK_MS = 250.0
-FINAL_ANSWERS_MS = 200.0  # before the kill: what is still open is answered then
-FINAL_WRITES_MS = 100.0  # before the kill: an end with something unsent, for it cannot get any better
-MIN_QUIET_CHECKS = 5  # turns of the loop without anything new
+FINAL_ANSWERS_MS = 200.0  # before the kill: requests still open are answered
+FINAL_WRITES_MS = 100.0  # before the kill: exit even with unsent bytes
+MIN_QUIET_CHECKS = 5  # consecutive iterations of the loop without new input
 
 
 class State(Enum):
-    """Of a director as its end goes."""
+    """State of a stopping director."""
 
     SERVING = "serving"
     DRAINING = "staying"
@@ -41,7 +42,7 @@
 
 
 class Step(Enum):
-    """What a look leads to."""
+    """Result of a check."""
 
     WAIT = "wait for the next look in its own time"
     ANSWER = "answer what is open, then as LOOK"
@@ -51,15 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWork:
-    """What a director owes at a look, and how much it has heard so far."""
+    """What is pending at a check, and how much input was received."""
 
-    unanswered: int  # requests taken and not answered
-    unsent: int  # bytes or messages that are written and not taken by the machine
-    received: int  # connections and reads so far: more than at the last look means something came
+    unanswered: int  # requests accepted and not answered
+    unsent: int  # bytes or messages written and not yet accepted by the kernel
+    received: int  # number of connections and reads; more than at the last check means new input
 
 
 class GracefulStop:
-    """Decides when the process ends. `deadlines`: of the settings' classes, ms."""
+    """Decides when the process exits. `deadlines`: deadlines of the session classes, ms."""
 
     def __init__(self, deadlines: Iterable[float]) -> None:
         self.killed_after_ms = min(max(deadlines, default=0.0), MAX_DEADLINE_MS) + ARRIVAL_WINDOW_MS
@@ -69,14 +70,14 @@
         self._quiet_checks = 0  # looks in a row with nothing new
 
     def begin(self, now: float) -> bool:
-        """The word to stop came; False where it had come before. `now` in ms."""
+        """Handle the stop signal. Return False if it was received before. `now` in ms."""
         if self.state is not State.SERVING:
             return False
         self.state, self._stop_at = State.DRAINING, now
         return True
 
     def check(self, now: float, pending: PendingWork) -> Step:
-        """The sockets were read; what to do now. `now` in ms."""
+        """Return the next step after the sockets have been read. `now` in ms."""
         if self.state in (State.SERVING, State.ENDED):
             return Step.WAIT
         elapsed_ms = now - self._stop_at
--- a/foxlift/platform/transport.py
+++ b/foxlift/platform/transport.py
@@ -155,13 +155,11 @@
     def servers_line(self) -> str:
         """For each box: sessions and set-ups that are believed there, and set-ups out on its connections."""
         usage = self.core.server_usage()
-        connections = {
-            node: (len(pool.connections), pool.in_flight) for node, pool in self.servers.pools.items()
-        }
+        in_use = {node: (len(pool.connections), pool.in_flight) for node, pool in self.servers.pools.items()}
         return ", ".join(
             f"s-{node:08x} plays {usage.get(node, (0, 0))[0]} sets up {usage.get(node, (0, 0))[1]}"
-            f" out {connections.get(node, (0, 0))[1]} on {connections.get(node, (0, 0))[0]}"
-            for node in sorted({*usage, *connections})
+            f" out {in_use.get(node, (0, 0))[1]} on {in_use.get(node, (0, 0))[0]}"
+            for node in sorted({*usage, *in_use})
         )
 
     def handle_exception(self, context: dict[str, object]) -> None:
@@ -210,7 +208,7 @@
             case ev.SendToServer(node, conn, data, this_connection_only):
                 self.servers.send(node, conn, data, this_connection_only)
             case ev.SetupFinished(node, conn):
-                self.servers.handle(node, server_pool.SetupFinished(conn))
+                self.servers.handle(node, server_pool.SlotReleased(conn))
             case ev.SetSessionCount(node, count):
                 self.servers.handle(node, server_pool.SessionsChanged(count))
             case ev.ChangeViewerSessions(conn, change):
--- a/foxlift/platform/viewer_releases.py
+++ b/foxlift/platform/viewer_releases.py
@@ -1,16 +1,18 @@
-"""Releases that viewers are owed: on which connection each goes, and when it goes again. No I/O.
-
-    release     event                        next      what is done
-    (none)      Over, its connection open    SENT      written there
-    (none)      Over, closed, another open   SENT      written on the other: a session belongs to none
-    (none)      Over, none open              OWED      kept
-    SENT        Confirmed                    (none)
-    SENT        its connection is gone       as Over   it may not have arrived: written again elsewhere
-    OWED        a connection is of use       SENT      written there
-    both        OWED_MS since the end        (none)    its viewer has counted it as lost by now
-
-Another's connection is one on which a session was served, the last of them; else one that asked for one. A
-connection that never did is nobody's viewer as far as is known.
+"""Releases to viewers: the connection each is sent on, and when it is sent again. No I/O.
+
+    release     event                             next      action
+    (none)      add, its connection in use        SENT      written there
+    (none)      add, another connection in use    SENT      written there: a session may use any connection
+    (none)      add, no connection in use         UNSENT    kept
+    SENT        confirmed                         (none)
+    SENT        its connection closes             as add    sent again elsewhere, as it may be lost
+    SENT        MAX_UNCONFIRMED on a connection   (none)    the oldest is dropped
+    UNSENT      a connection comes into use       SENT      written there
+    UNSENT      MAX_UNSENT exceeded               (none)    the oldest is dropped
+    both        RETENTION_MS since the end        (none)    the viewer has counted the session as lost
+
+The other connection is the one on which a session started last, else the one on which a session was requested
+last. A connection without either may not belong to a viewer.
 """
 
 from __future__ import annotations
@@ -19,14 +21,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-RETENTION_MS = 8000.0  # viewers are owed word within 8 s of an end
-MAX_UNSENT = 4096  # releases kept while no connection is open
-MAX_UNCONFIRMED = 256  # on one connection: of viewers that confirm nothing the oldest has long arrived
+RETENTION_MS = 8000.0  # viewers must be notified within 8 s of an end
+MAX_UNSENT = 4096  # releases kept while no connection is in use
+MAX_UNCONFIRMED = 256  # per connection; where a viewer confirms nothing, the oldest arrived long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Write the release on the connection."""
+    """Action: write the release on the connection."""
 
     conn: int
     data: bytes
@@ -34,36 +36,38 @@
 
 @dataclass(slots=True)
 class ViewerReleases:
-    """Every release that is not confirmed, and the connections that may carry one."""
-
-    resent: int = 0  # written again because a connection ended
-    expired: int = 0
-    _serving: dict[int, None] = field(default_factory=dict)  # in order of their last use
-    _requesting: dict[int, None] = field(default_factory=dict)
-    # by connection and id, in order of their writing: since when it is owed, the release
+    """Unconfirmed releases and the connections that may carry them."""
+
+    resent: int = 0  # number of releases written again because a connection closed
+    expired: int = 0  # number of releases dropped after RETENTION_MS or beyond MAX_UNSENT
+    _serving: dict[int, None] = field(
+        default_factory=dict
+    )  # connections on which a session started, least recent first
+    _requesting: dict[int, None] = field(default_factory=dict)  # connections on which one was requested
+    # by connection and tag, in order of writing: time of the end, the release
     _sent: dict[tuple[int, str], tuple[float, bytes]] = field(default_factory=dict)
-    _sent_on: dict[int, dict[str, None]] = field(default_factory=dict)  # the same ids by connection
+    _sent_on: dict[int, dict[str, None]] = field(default_factory=dict)  # the same tags by connection
     _unsent: deque[tuple[float, str, bytes]] = field(default_factory=deque)
 
     def __len__(self) -> int:
         return len(self._unsent) + len(self._sent)
 
     def session_requested(self, now: float, conn: int) -> list[Write]:
-        """A session was asked for on the connection."""
+        """A session was requested on the connection: return the releases to write now."""
         self._requesting.pop(conn, None)
         self._requesting[conn] = None
         self._expire(now)
         return self._send_unsent(now)
 
     def session_started(self, now: float, conn: int) -> list[Write]:
-        """A session of the connection stands."""
+        """A session of the connection started: return the releases to write now."""
         self._serving.pop(conn, None)
         self._serving[conn] = None
         self._expire(now)
         return self._send_unsent(now)
 
     def add(self, since: float, conn: int, tag: str, data: bytes) -> list[Write]:
-        """A session is over, now or then, whose viewer is owed word; `conn` is the one that it came on."""
+        """Add the release of a session that ended at `since`; `conn`: the connection it was requested on."""
         if conn not in self._serving and conn not in self._requesting:
             other = next(reversed(self._serving), None) or next(reversed(self._requesting), None)
             if other is None:
@@ -82,7 +86,7 @@
         return [Write(conn, data)]
 
     def _expire(self, now: float) -> None:
-        """Forget what no viewer is owed any more: not every viewer confirms."""
+        """Drop releases past RETENTION_MS: not every viewer confirms."""
         while self._sent:
             conn, tag = next(iter(self._sent))
             if now - self._sent[conn, tag][0] <= RETENTION_MS:
@@ -91,7 +95,7 @@
             self.expired += 1
 
     def confirmed(self, conn: int, tag: str) -> None:
-        """The viewer heard it."""
+        """The viewer confirmed the release."""
         if self._sent.pop((conn, tag), None) is not None:
             tags = self._sent_on[conn]
             del tags[tag]
@@ -99,7 +103,7 @@
                 del self._sent_on[conn]
 
     def connection_closed(self, now: float, conn: int) -> list[Write]:
-        """The connection is over: what it was to carry goes elsewhere."""
+        """The connection closed: return its unconfirmed releases to write on another connection."""
         self._serving.pop(conn, None)
         self._requesting.pop(conn, None)
         self._expire(now)
--- a/foxlift/platform/viewers.py
+++ b/foxlift/platform/viewers.py
@@ -1,8 +1,8 @@
-"""Viewers' JSON lines: bytes in, events out; answers to bytes.
+"""Codec of the viewers' JSON lines: bytes to messages, answers to bytes.
 
-A line is one JSON object of at most 16 KiB. A line that is none of the protocol's messages is `Unreadable`,
-and with it the whole connection: who sends one has lost count of its own lines. A set-up that can be read but
-asks for what does not exist is `Senseless` and is answered by name.
+A line is one JSON object of at most 16 KiB. A line that is not a message of the protocol raises
+`ProtocolError`, after which the whole connection is unusable: its sender no longer separates lines correctly.
+A set-up that can be parsed but has an invalid field is an `InvalidSetup` and is answered with an error.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 import msgspec
 
-MAX_LINE_BYTES = 16 * 1024  # bytes, line feed included
-MAX_NUMBER = 1e9  # no stated time, in ms, or count is larger
+MAX_LINE_BYTES = 16 * 1024  # line feed included
+MAX_NUMBER = 1e9  # upper bound of times in ms and of counts
 _HEX = frozenset("0123456789abcdefABCDEF")
 
 
 class ProtocolError(ValueError):
-    """The connection cannot be read any further."""
+    """The line is invalid; the connection cannot be read any further."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A viewer wants a session, or names one that plays at a box already (`plays_at`)."""
+    """A viewer requests a session, or hands over one that already plays at a server (`plays_at`)."""
 
     tag: str
     klass: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """A viewer gives a set-up up (cause 16) or ends a session."""
+    """A viewer cancels a set-up (cause 16) or ends a session."""
 
     tag: str
     cause: int
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Echo:
-    """A test."""
+    """A viewer tests the connection."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseConfirmed:
-    """A release was heard."""
+    """A viewer confirms a release."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSetup:
-    """A set-up that can be read and cannot be served; `why` names the field."""
+    """A set-up with a missing or invalid field."""
 
     tag: str
     field_name: str
@@ -92,17 +92,17 @@
 
 @dataclass(slots=True)
 class LineReader:
-    """Cuts one viewer's bytes into lines and reads them."""
+    """Splits the bytes of one viewer's connection into lines."""
 
     _buffer: bytearray = field(default_factory=bytearray)
 
     @property
     def pending(self) -> int:
-        """Bytes of a line that is not whole yet."""
+        """Number of bytes of an incomplete line."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole by now. Raises Unreadable where one is too long."""
+        """Add bytes and return the complete lines. Raises ProtocolError if one is too long."""
         if (
             not self._buffer
             and data.endswith(b"\n")
@@ -125,14 +125,14 @@
 
 
 def read_line(line: bytes) -> Event | None:
-    """What a line says; None for what means nothing here. Raises Unreadable."""
+    """Return the message of a line; None if it is ignored. Raises ProtocolError."""
     try:
         found = _decode(line)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
-        raise ProtocolError("not a message") from error
+        raise ProtocolError("line is not a message") from error
     tag = found.tag
     if len(tag) != 16 or not _HEX.issuperset(tag):
-        raise ProtocolError("no id")
+        raise ProtocolError("tag is not 16 hexadecimal digits")
     match found.verb:
         case "START":
             try:
@@ -148,7 +148,7 @@
             return ReleaseConfirmed(tag)
         case "PENDING" | "ECHOED" | "NOTICE":
             return None
-    raise ProtocolError("no such message")
+    raise ProtocolError("unknown verb")
 
 
 def _text(opts: dict[str, str | int | float], name: str) -> str:
@@ -159,10 +159,10 @@
 
 
 def _number(value: str | int | float | None, name: str, maximum: float = MAX_NUMBER) -> float:
-    """A number, finite, not negative and not larger than `most`."""
+    """Return a finite number from 0 to `maximum`. Raises _FieldError."""
     if isinstance(value, str):
         try:
-            # float() also takes "1_0", " 1" and "infinity", which no figure of the protocol is
+            # float() also accepts "1_0", " 1" and "infinity", which the protocol does not
             if not value or not set(value) <= set("0123456789.+-eE"):
                 raise _FieldError(name)
             value = float(value)
@@ -212,7 +212,7 @@
 
 
 def node_number(name: str) -> int:
-    """A box's number out of its name, as `s-00c41f7a`. Raises ValueError."""
+    """Return a server's number from its name, such as `s-00c41f7a`. Raises ValueError."""
     if len(name) != 10 or not name.startswith("s-") or not _HEX.issuperset(name[2:]):
         raise _FieldError("box name")
     return int(name[2:], 16)
@@ -223,25 +223,25 @@
 
 
 def started(tag: str, description: str) -> bytes:
-    """The session stands; the description is the box's own."""
+    """The session has started; the description is that of the server."""
     return _line("STARTED", tag, {}, blob=description)
 
 
 def finish(tag: str, cause: int, wait_ms: float = 0.0) -> bytes:
-    """A refusal, a failure or a release. `wait_ms`: how long to keep away."""
+    """A refusal, a failure or a release. `wait_ms`: how long not to try again."""
     return _line("FINISH", tag, {"wait": str(round(wait_ms))} if wait_ms > 0 else {}, rc=cause)
 
 
 def finished(tag: str) -> bytes:
-    """A release was heard."""
+    """Confirms that the viewer ended a session or set-up."""
     return _line("FINISHED", tag, {})
 
 
 def echoed(tag: str, list_received: bool) -> bytes:
-    """Answer to a test."""
+    """Answers a test of the connection."""
     return _line("ECHOED", tag, {}, rc=1 if list_received else 0)
 
 
 def move(tag: str) -> bytes:
-    """The session ends here and its viewer comes again."""
+    """The session ends here and its viewer requests it again."""
     return _line("MOVE", tag, {})
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -218,7 +218,7 @@
     made = server_pool.ServerPool(1000.0, 30000.0, 4, 1)
     for key in range(connections):
         made.handle(now, server_pool.SetupQueued(key))
-    for event in (server_pool.ConnectionOpened, server_pool.SetupFinished):
+    for event in (server_pool.ConnectionOpened, server_pool.SlotReleased):
         for conn in list(made.connections):
             made.handle(now, event(conn))
     if standing:
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -39,7 +39,7 @@
         server_pool.UseConnection(1, 3)
     ]  # no room for more: shared
     for conn in (1, 1, 2):
-        box.handle(3, server_pool.SetupFinished(conn))
+        box.handle(3, server_pool.SlotReleased(conn))
     assert kinds(box.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]  # idle ones are used again
 
 
@@ -47,11 +47,11 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.SetupQueued(2))
-    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupNotSent(1)]
+    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
     assert box.handle(249, server_pool.Tick()) == []
     assert box.handle(250, server_pool.Tick()) == [
         server_pool.CloseConnection(2),
-        server_pool.SetupNotSent(2),
+        server_pool.SetupUnreachable(2),
     ]
     assert box.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
 
@@ -90,7 +90,7 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SetupFinished(1))
+    box.handle(5, server_pool.SlotReleased(1))
     assert box.handle(5, server_pool.SessionsChanged(1)) == []
     assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
     assert box.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
@@ -106,7 +106,7 @@
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(0, server_pool.SessionsChanged(1))
     box.handle(1, server_pool.SetupQueued(2))
-    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupNotSent(2)]
+    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
 
 
 def test_silence_ends_what_played_there_within_the_time_owed() -> None:
@@ -127,7 +127,7 @@
     box = line()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SetupFinished(1))
+    box.handle(5, server_pool.SlotReleased(1))
     box.handle(5, server_pool.SessionsChanged(1))
     box.handle(6, server_pool.ServerRemoved())
     assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
@@ -143,7 +143,7 @@
         box.handle(0, server_pool.ConnectionOpened(k))
     for k in (1, 2, 3):
         box.handle(1, server_pool.DataReceived(k))
-        box.handle(1, server_pool.SetupFinished(k))
+        box.handle(1, server_pool.SlotReleased(k))
     box.handle(1, server_pool.SessionsChanged(3))
     assert kinds(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
     box.handle(1001, server_pool.DataReceived(3))
@@ -159,7 +159,7 @@
     for k in range(1, 6):
         box.handle(0, server_pool.ConnectionOpened(k))
     for k in range(1, 6):
-        box.handle(1, server_pool.SetupFinished(k))
+        box.handle(1, server_pool.SlotReleased(k))
     assert box.handle(17000, server_pool.Tick()) == []
     assert kinds(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
     assert not box.connections
@@ -200,7 +200,7 @@
                 case server_pool.UseConnection(conn, k):
                     assert conn in up
                     wants.remove(k)
-                case server_pool.SetupNotSent(k):
+                case server_pool.SetupUnreachable(k):
                     wants.remove(k)
                 case server_pool.CloseConnection(conn) | server_pool.RetireConnection(conn):
                     up.discard(conn)
@@ -225,7 +225,7 @@
                 opening.discard(conn)
                 look(box.handle(now, server_pool.ConnectionLost(conn, refused=True)))
             case "f" if up:
-                look(box.handle(now, server_pool.SetupFinished(max(up))))
+                look(box.handle(now, server_pool.SlotReleased(max(up))))
             case "d" if up:
                 conn = min(up)
                 up.discard(conn)
@@ -521,7 +521,7 @@
     assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
     assert box.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
     assert box.handle(3, server_pool.SetupQueued(5)) == [] and box.in_flight == 2
-    assert box.handle(4, server_pool.SetupFinished(1)) == [server_pool.UseConnection(1, 2)]
+    assert box.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
     assert [key for key, _ in box.waiting] == [3, 5]
 
 
@@ -616,7 +616,7 @@
     box = line(most=1)
     assert box.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
     assert box.handle(10, server_pool.ConnectRequested()) == []  # one is opening
-    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupNotSent(7)]
+    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
     opened = [
         now for now in range(300, 20_000, 100) for a in box.handle(now, server_pool.Tick()) if a in OPENS
     ]
@@ -640,7 +640,7 @@
     box.handle(0, server_pool.SetupQueued(7))
     assert box.handle(1, server_pool.ServerRemoved()) == [
         server_pool.CloseConnection(1),
-        server_pool.SetupNotSent(7),
+        server_pool.SetupUnreachable(7),
     ]
     box.handle(2, server_pool.ServerListed(False))
     assert not box.is_removed and box.handle(3, server_pool.SetupQueued(8)) == [
@@ -649,11 +649,11 @@
     box.handle(4, server_pool.ConnectionOpened(2))
     box.handle(5, server_pool.SetupQueued(9))
     box.handle(6, server_pool.ConnectionOpened(3))
-    box.handle(7, server_pool.SetupFinished(3))
+    box.handle(7, server_pool.SlotReleased(3))
     # at another address now: the idle one goes, the one with a set-up out ends what it has, nothing joins it
     assert box.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
     assert box.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
-    box.handle(10, server_pool.SetupFinished(2))
+    box.handle(10, server_pool.SlotReleased(2))
     assert server_pool.RetireConnection(2) in box.handle(11, server_pool.Tick())
 
 
@@ -679,7 +679,7 @@
     for key in (7, 8):
         narrow.handle(2, server_pool.SetupQueued(key))
     assert narrow.handle(3, server_pool.DataReceived(1)) == [server_pool.UseConnection(1, 7)]
-    assert narrow.handle(4, server_pool.SetupFinished(1)) == [server_pool.UseConnection(1, 8)]
+    assert narrow.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 8)]
 
 
 def test_set_ups_that_wait_get_a_connection_when_the_last_one_went_to_an_old_address() -> None:
@@ -688,7 +688,7 @@
     box.handle(1, server_pool.ConnectionOpened(1))
     box.handle(2, server_pool.ServerListed(True))
     assert box.handle(3, server_pool.SetupQueued(8)) == []
-    assert box.handle(4, server_pool.SetupFinished(1)) == []
+    assert box.handle(4, server_pool.SlotReleased(1)) == []
     assert box.handle(100, server_pool.Tick()) == [
         server_pool.RetireConnection(1),
         server_pool.OpenConnection(2, 250.0),
