--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -65,7 +65,7 @@
     Finding(
         Kind.BOUND,
         "foxlift/zones/evidence.py",
-        "`MOST_REPORTS`",
+        "`MAX_REPORTS`",
         "reports of the last directors are dropped without a word",
         worked_out="{{worked:max_reports}} of 4,200 needed",
         mend="one report a zone, gathered there",
@@ -168,7 +168,7 @@
     Finding(
         Kind.GROWS,
         "foxlift/store/intents.py",
-        "`IntentBook`",
+        "`IntentLog`",
         "the record of paid set-ups is written anew at a start only",
         worked_out="known before: the roadmap, embedded store",
         mend="rewrite as the registers' book does",
@@ -307,8 +307,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/zones/common.py",
-        "`_tell`",
+        "foxlift/zones/agreement.py",
+        "`_gossip`",
         "all names are sorted to draw three",
         _scan("telling a plan on", CONTROL, "directors"),
         DIRECTORS,
@@ -318,7 +318,7 @@
     Finding(
         Kind.WORK,
         "foxlift/zones/evidence.py",
-        "`judge`",
+        "`assess`",
         "all reports are judged anew, at the maker that proposes",
         _scan("judgement of nine zones", PLAN_MAKERS, "directors"),
         DIRECTORS,
@@ -328,7 +328,7 @@
     Finding(
         Kind.WORK,
         "foxlift/peers/view.py",
-        "`_next`",
+        "`_next_target`",
         "all peers are gone over for those that are absent",
         _scan("choice of whom to probe", CONTROL, "directors"),
         DIRECTORS,
@@ -348,7 +348,7 @@
     Finding(
         Kind.WORK,
         "foxlift/consensus/rendezvous.py",
-        "`holders_of`",
+        "`replicas_of`",
         "all names are hashed and sorted for one claim",
         _scan("place of a claim's register", REGISTER_HOLDERS, "directors"),
         DIRECTORS,
@@ -358,7 +358,7 @@
     Finding(
         Kind.WORK,
         "foxlift/consensus/replica.py",
-        "`_forget`",
+        "`_delete_expired`",
         "all registers are searched for those that are over",
         _scan("scan for registers that are over", REGISTER_HOLDERS, "registers"),
         REGISTERS,
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -75,10 +75,10 @@
         put, show, asked, feed = daemon._put, daemon.answers.show, daemon.asked, daemon.feed
 
         def on_asked(exchange: Exchange) -> None:
-            asked_at[daemon._last_request + 1] = exchange.request.arrived
+            asked_at[daemon._last_request + 1] = exchange.request.arrived_s
             asked(exchange)
 
-        def on_put(action: ev.PutSetUp) -> None:
+        def on_put(action: ev.SendSetUp) -> None:
             put(action)
             number = action.session.number
             spent[number] = loop.time() - asked_at.get(daemon._last_request, loop.time())
--- a/foxlift/control/messages.py
+++ b/foxlift/control/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.rollout.entry import Name, Version
 from foxlift.rollout.messages import BootEpoch
 
@@ -25,14 +25,14 @@
 
     sender: Name
     boot_epoch: BootEpoch = msgspec.field(name="run")
-    request: RegisterAsk = msgspec.field(name="ask")
+    message: RegisterAsk = msgspec.field(name="ask")
 
 
 class RegisterResponse(msgspec.Struct, frozen=True):
     """The acceptor's answer."""
 
     sender: Name
-    response: RegisterAnswer = msgspec.field(name="answer")
+    message: RegisterAnswer = msgspec.field(name="answer")
 
 
 class Hello(msgspec.Struct, frozen=True):
--- a/foxlift/control/service.py
+++ b/foxlift/control/service.py
@@ -23,7 +23,7 @@
 import structlog
 
 from foxlift.config.control import ControlConfig
-from foxlift.consensus import Answer as RegisterAnswer
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.consensus import register as registers
 from foxlift.control import messages
 from foxlift.control.disk_trust import DiskTrust
@@ -56,11 +56,11 @@
 MAX_CONNECTIONS = 10_000
 MAX_BODY_BYTES = 1 << 18
 IDLE_TIME_MS = 30_000.0
-POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=8, max_answer_bytes=MAX_RESPONSE_BYTES)
+POOL_LIMITS = PoolLimits(connect_ms=1000.0, max_connections=8, max_response_bytes=MAX_RESPONSE_BYTES)
 
 _decode_watch = msgspec.json.Decoder(Watch).decode
 _decode_watch_answer = msgspec.json.Decoder(WatchResponse).decode
-_decode_order = msgspec.json.Decoder(ChangeRequest).decode
+_decode_change_request = msgspec.json.Decoder(ChangeRequest).decode
 _decode_register = msgspec.json.Decoder(RegisterRequest).decode
 _decode_register_answer = msgspec.json.Decoder(RegisterResponse).decode
 _decode_heartbeat = msgspec.json.Decoder(Heartbeat).decode
@@ -93,11 +93,11 @@
         limits = Limits(MAX_CONNECTIONS, max_body_bytes=MAX_BODY_BYTES, idle_time_ms=IDLE_TIME_MS)
         self._server = Server(loop, self._dispatch, limits)
         self._handlers: dict[tuple[str, str], Handler] = {
-            ("POST", WATCH_PATH): self._watched,
-            ("POST", messages.ORDERS): self._ordered,
-            ("POST", messages.REGISTERS): self._register_asked,
+            ("POST", WATCH_PATH): self._watch_received,
+            ("POST", messages.ORDERS): self._change_requested,
+            ("POST", messages.REGISTERS): self._register_requested,
             ("POST", messages.HEARTBEATS): self._heartbeat,
-            ("POST", messages.REPORTS): self._reported,
+            ("POST", messages.REPORTS): self._report_received,
             ("POST", messages.HELLO): self._hello,
             ("GET", messages.STATUS): self._status,
         }
@@ -188,7 +188,11 @@
 
     def _send_register(self, send: registers.Send) -> None:
         def answered(answer: RegisterAnswer | None) -> None:
-            event = registers.Unanswered(send.ask) if answer is None else registers.Answered(send.ask, answer)
+            event = (
+                registers.RequestFailed(send.request_id)
+                if answer is None
+                else registers.ResponseReceived(send.request_id, answer)
+            )
             self._loop.call_soon(self._handle, server.RegisterEvent(event))
 
         if send.to == self.config.name:
@@ -199,7 +203,7 @@
 
         def received(response: RegisterResponse | None) -> None:
             is_from_member = response is not None and response.sender == send.to
-            answered(response.response if response is not None and is_from_member else None)
+            answered(response.message if response is not None and is_from_member else None)
 
         body = msgspec.json.encode(RegisterRequest(self.config.name, self._store.boot_epoch, send.message))
         self._client.request(
@@ -211,7 +215,7 @@
             self._replies.pop(reply.correlation_id)(reply.response)
             return
         exchange = self._exchanges.pop(reply.correlation_id, None)
-        if exchange is None or exchange.gone:
+        if exchange is None or exchange.disconnected:
             return
         if reply.response is None:
             exchange.reply_problem(503, "not now", extra=(("retry-after", "1"),))
@@ -239,7 +243,7 @@
     def _hold(self, exchange: Exchange) -> int:
         number = self._next_number()
         self._exchanges[number] = exchange
-        exchange.on_gone = lambda: self._gone(number)
+        exchange.on_disconnect = lambda: self._gone(number)
         return number
 
     def _gone(self, number: int) -> None:
@@ -256,7 +260,7 @@
     def _is_member(self, exchange: Exchange, sender: str) -> bool:
         return self._admits(exchange, sender, self.core.identity.members)
 
-    def _watched(self, exchange: Exchange) -> None:
+    def _watch_received(self, exchange: Exchange) -> None:
         watch = _decode_watch(exchange.request.body)
         config = self.config
         is_director = isinstance(watch, DirectorWatch)
@@ -264,21 +268,26 @@
         if self._admits(exchange, watch.sender, patterns):
             self._handle(server.WatchReceived(self._hold(exchange), watch))
 
-    def _ordered(self, exchange: Exchange) -> None:
-        order = _decode_order(exchange.request.body)
+    def _change_requested(self, exchange: Exchange) -> None:
+        change_request = _decode_change_request(exchange.request.body)
         try:
-            check_values(order.change)
+            check_values(change_request.change)
         except EntryError as error:
             refused = ChangeResponse(Outcome.REFUSED, reason=str(error))
             exchange.reply(200, JSON_HEADERS, msgspec.json.encode(refused))
             return
-        self.log.info("order", request=order.request, withdraw=order.withdraw, keys=len(order.change.puts))
-        self._handle(server.ChangeRequested(self._hold(exchange), order))
+        self.log.info(
+            "order",
+            request=change_request.request_id,
+            withdraw=change_request.withdraw,
+            keys=len(change_request.change.puts),
+        )
+        self._handle(server.ChangeRequested(self._hold(exchange), change_request))
 
-    def _register_asked(self, exchange: Exchange) -> None:
+    def _register_requested(self, exchange: Exchange) -> None:
         request = _decode_register(exchange.request.body)
         if self._is_member(exchange, request.sender):
-            self._handle(server.RegisterRequested(self._hold(exchange), request.request))
+            self._handle(server.RegisterRequested(self._hold(exchange), request.message))
 
     def _heartbeat(self, exchange: Exchange) -> None:
         beat = _decode_heartbeat(exchange.request.body)
@@ -286,7 +295,7 @@
             self._handle(server.MessageReceived(beat))
             exchange.reply(204)
 
-    def _reported(self, exchange: Exchange) -> None:
+    def _report_received(self, exchange: Exchange) -> None:
         report = _decode_report(exchange.request.body)
         if self._admits(exchange, report.sender, (*self.config.relays, *self.core.identity.members)):
             self._handle(server.MessageReceived(report))
@@ -301,7 +310,7 @@
             return
 
         def stored(before: int | None) -> None:
-            if exchange.gone:
+            if exchange.disconnected:
                 return
             if before is None:
                 exchange.reply_problem(503, "the disk has failed")
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from foxlift.boxes.takeover import TakeAnswer, TakeOrder
+from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
 from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
-from foxlift.http import Answer, Exchange, Failure, Headers
-from foxlift.zones.evidence import Sight
+from foxlift.http import Exchange, Failure, Headers, Response
+from foxlift.zones.evidence import ZoneObservation
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """Answer the request without a session; `come_back_ms` 0: no time to come back after."""
 
-    def relay(self, request: int, answer: Answer) -> None:
+    def relay(self, request: int, answer: Response) -> None:
         """Answer the request with another director's answer."""
 
     def receive_forwarded(self, exchange: Exchange) -> None:
@@ -44,13 +44,15 @@
     def forwardable(self, request: int) -> ForwardableRequest | None:
         """The request as it is to be forwarded; None where its viewer has left."""
 
-    def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
+    def send_takeover(
+        self, box: str, order: TakeoverRequest, done: Callable[[Response | Failure], None]
+    ) -> bool:
         """Send an order to a box; False where the box list does not name it."""
 
-    def adopt(self, box: str, answer: TakeAnswer) -> None:
+    def adopt(self, box: str, answer: TakeoverResponse) -> None:
         """Take in what a box has handed over."""
 
-    def boot_of(self, keep: events.KeepIntent) -> str:
+    def boot_of(self, keep: events.PersistIntent) -> str:
         """The box process that a paid set-up is for."""
 
     def epoch_renewed(self) -> None:
@@ -59,5 +61,5 @@
     def superseded(self) -> None:
         """Another process has this director's name: do nothing more."""
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from foxlift.config import DirectorConfig
-from foxlift.consensus.register import Answered, Send, Unanswered
+from foxlift.consensus.register import RequestFailed, ResponseReceived, Send
 from foxlift.director import events
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
@@ -34,11 +34,11 @@
 from foxlift.director.cluster.zone_endpoints import ZoneEndpoints
 from foxlift.director.cluster.zone_planning import ZonePlanning
 from foxlift.director.timeline import Timeline
-from foxlift.http import Answer, Failure
-from foxlift.peers.messages import State
+from foxlift.http import Failure, Response
+from foxlift.peers.messages import PeerState
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 STOP_TIME_MS = 200.0
 
@@ -127,7 +127,7 @@
         """The box names sessions of this director that it does not know: have them handed over."""
         self._orders.send(box, self._context.name, self.boot_epoch - 1, True, lambda _: None)
 
-    def renew_epoch(self, refusal: Answer | Failure | None = None) -> None:
+    def renew_epoch(self, refusal: Response | Failure | None = None) -> None:
         """A box says that the present boot epoch is over there: go on in another one."""
         self._renewal.renew(refusal)
 
@@ -142,7 +142,7 @@
         """A message of this peer has come."""
         self._schedule.peer_heard(name)
 
-    def peer_changed(self, name: str, state: State, epoch: int) -> None:
+    def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
         """What is believed of a peer has changed."""
         self._schedule.peer_changed(name, state, epoch, tuple(self.membership.alive()))
 
@@ -165,7 +165,7 @@
         """Send a message that a later one repeats."""
         self._client.notify(name, path, body)
 
-    def send_to_register(self, send: Send, done: Callable[[Answered | Unanswered], None]) -> None:
+    def send_to_register(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
         """Ask a replica of the plan's register."""
         self._registers.send(send, done)
 
@@ -173,7 +173,7 @@
         """Names of those that are believed to be there, this director first."""
         return self.membership.alive()
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
         return self._host.zone_observations()
 
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -15,7 +15,7 @@
 
 from foxlift import interface as fl
 from foxlift import ledger as lg
-from foxlift.boxes import Delivered, EndedThere, Hello, LinkUse, RungThere, TakenThere
+from foxlift.boxes import Delivered, Hello, LinkUse, OwnershipLost, RungInForce, SessionEnded
 from foxlift.config import DirectorConfig, module_settings
 from foxlift.decide import attempts as at
 from foxlift.decide import links as ln
@@ -27,17 +27,17 @@
     BoxEntry,
     BoxList,
     CacheList,
-    ListAnswer,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
 )
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 SEEN_MS = 5000.0  # how long what was met of a box tells of its zone
 
@@ -73,17 +73,17 @@
         self,
         config: DirectorConfig,
         cached: BoxList | None,
-        run: str,
+        boot_epoch: str,
         secret: Callable[[], str],
         trace: Trace | None = None,
         make: Callable[[fl.Settings, int], Director] = Director,
     ) -> None:
-        self.config, self.run = config, run
+        self.config, self.boot_epoch = config, boot_epoch
         self.settings = module_settings(config)
         self.module = make(self.settings, config.seed)
         self._driver = Driver(self.module, self._carry_out, self._fault, trace)
         self.token_sessions = ts.TokenSessions(config.peers.on)
-        self.attempts = at.Attempts(f"{config.name}.{run}")
+        self.attempts = at.Attempts(f"{config.name}.{boot_epoch}")
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
         self._mets: dict[int, tuple[Met, float]] = {}  # how boxes were met last, and when
@@ -97,7 +97,9 @@
         self._tenants = {tenant.name: k for k, tenant in enumerate(self.settings.tenants)}
         self._zones = {name: k for k, name in enumerate(config.fleet.zones)}
         self._kinds = {name: k for k, name in enumerate(config.fleet.kinds)}
-        self._asked: dict[int, ev.ManifestAsked] = {}  # by request, only within the call that opens a session
+        self._asked: dict[
+            int, ev.ManifestRequested
+        ] = {}  # by request, only within the call that opens a session
         self._now = 0.0
         self._out: list[ev.Action] = []
 
@@ -117,39 +119,39 @@
         """Take one event in. `now` is Unix time in ms as the module's clock keeps it: it never steps back."""
         self._now, self._out = now, []
         match event:
-            case ev.ManifestAsked():
+            case ev.ManifestRequested():
                 self._manifest_asked(event)
-            case ev.ClientGone(request):
+            case ev.ClientDisconnected(request):
                 self._claim(ts.ClientDisconnected(request))
-            case ev.Notice(node, notice):
+            case ev.NoticeReceived(node, notice):
                 self._notice(node, notice)
-            case ev.PlaceGone(number):
+            case ev.ParkedSessionMissing(number):
                 self._place_gone(number)
-            case ev.StreamBroken(node):
-                self._link(node, ln.StreamBroken())
-            case ev.LinkTimer(node, timer):
+            case ev.NoticeStreamClosed(node):
+                self._link(node, ln.Disconnected())
+            case ev.LinkTimerDue(node, timer):
                 self._link(node, timer)
-            case ev.TimerDue(token):
+            case ev.ModuleTimerDue(token):
                 self._tell(fl.Wake(token))
-            case ev.Remembered(known):
-                played = known.verdict in (Verdict.STARTED, Verdict.ENDED)
+            case ev.IntentRecovered(known):
+                played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
                 self._claim(ts.Restored(known.token, known.expires, played))
                 # a death may have come between the box's answer and the ledger's record of it
                 ends = int(known.expires * 1000)
                 ran = lg.Ran(int(now), known.set_up, known.token, known.tenant, known.klass, not played, ends)
-                self._out.append(ev.Account(ran))
-            case ev.ClaimedElsewhere():
+                self._out.append(ev.WriteLedgerEntry(ran))
+            case ev.TokenClaimFailed():
                 self._claimed_elsewhere(event)
-            case ev.Adopted():
+            case ev.SessionsTakenOver():
                 self._adopted(event)
-            case ev.Renewed(run):
-                self.run = run
-                self._attempt(at.PrefixChanged(f"{self.config.name}.{run}"))
-            case ev.NotOwner(set_up):
+            case ev.BootEpochRenewed(boot_epoch):
+                self.boot_epoch = boot_epoch
+                self._attempt(at.PrefixChanged(f"{self.config.name}.{boot_epoch}"))
+            case ev.OwnershipRefused(set_up):
                 self._taken(set_up, 0)
-            case ev.PlanInForce(shares):
+            case ev.ZonePlanChanged(shares):
                 self._tell(fl.ZoneShares(shares))
-            case PollDue() | ListAnswer() | ListFailed():
+            case PollDue() | ListReceived() | ListFailed():
                 self._list(event)
             case (
                 at.IntentDurable()
@@ -175,9 +177,9 @@
         elif event.failure in LOSSES:
             self._mets[session.node] = LOSSES[event.failure], self._now
 
-    def sights(self, now: float) -> dict[str, Sight]:
+    def zone_evidence(self, now: float) -> dict[str, ZoneObservation]:
         """What this director sees of each zone that it has lately met a box of."""
-        fleet, found = self.config.fleet, dict[str, Sight]()
+        fleet, found = self.config.fleet, dict[str, ZoneObservation]()
         self._mets = {n: met for n, met in self._mets.items() if now - met[1] < SEEN_MS and n in self.boxes}
         self._shares = {n: s for n, s in self._shares.items() if now - s[1] < SEEN_MS and n in self.boxes}
         demand = sum(self.rate_kb(session, session.rung) for session in self.sessions.values())
@@ -195,7 +197,7 @@
             asked = gives * sum(uses) / len(uses) if uses else 0.0
             delivered = [self._shares[node][0] for node in there if node in self._shares]
             unmet = {node for node, met in mets.items() if met is Met.SILENT} | silent - mets.keys()
-            found[zone] = Sight(
+            found[zone] = ZoneObservation(
                 boxes=known,
                 refused=sum(met is Met.REFUSED for met in mets.values()),
                 silent=len(unmet),
@@ -218,10 +220,10 @@
     @property
     def waiting(self) -> int:
         """Sessions that are asked for and not answered."""
-        return sum(1 for session in self.sessions.values() if not session.started)
+        return sum(1 for session in self.sessions.values() if not session.started_ms)
 
     # ---- Requests -----------------------------------------------------------------------------------------
-    def _manifest_asked(self, asked: ev.ManifestAsked) -> None:
+    def _manifest_asked(self, asked: ev.ManifestRequested) -> None:
         token = asked.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         self._asked[asked.request] = asked
@@ -234,19 +236,19 @@
                 case ts.OpenSession(session, request, place):
                     self._open(session, self._asked[request], place)
                 case ts.SendManifest(request, session):
-                    self._out.append(ev.ShowManifest(request, self.sessions[session]))
-                case ts.AnswerFailed(request, session):
+                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
+                case ts.SendFailure(request, session):
                     self._out.append(ev.AnswerFailed(request, session))
                 case ts.Reject(request, why):
-                    self._out.append(ev.AnswerDown(request, why))
+                    self._out.append(ev.AnswerRejected(request, why))
                 case ts.Withdraw(session):
                     self._withdraw(session)
                 case ts.QueryOwner(request):
-                    self._out.append(ev.AskAbout(request, self._token_of(request)))
-                case ts.AnswerRefused() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
+                    self._out.append(ev.FindSession(request, self._token_of(request)))
+                case ts.SendRefusal() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
                     raise AssertionError("told by whoever asked for it")
 
-    def _open(self, number: int, asked: ev.ManifestAsked, place: ts.ParkedLocation | None) -> None:
+    def _open(self, number: int, asked: ev.ManifestRequested, place: ts.ParkedLocation | None) -> None:
         token, title = asked.token, asked.title
         klass = self._classes[token.klass]
         terms = self.settings.classes[klass]
@@ -258,7 +260,7 @@
             klass,
             terms.repeat is not fl.Repeat.FREE,
             self._secret() if place is None else place.path_token,
-            place=place,
+            parked_at=place,
             top=max(best, terms.floor),
             rung=terms.floor,
         )
@@ -294,7 +296,7 @@
         session = self.sessions[number]
         session.withdrawn = True
         self._tell(fl.Withdrawn(number))
-        self._attempt(at.Cancel(number))
+        self._attempt(at.CancelSession(number))
         if number in self.sessions and not self.attempts.has_attempt(number):
             self._over(session, ran=False)
 
@@ -314,7 +316,7 @@
         return "" if asked is None else asked.token.id
 
     # ---- Between directors --------------------------------------------------------------------------------
-    def _claimed_elsewhere(self, event: ev.ClaimedElsewhere) -> None:
+    def _claimed_elsewhere(self, event: ev.TokenClaimFailed) -> None:
         """A paid session's token is another's: its requests go there, and the module forgets it."""
         session = self.sessions.get(event.session)
         if (
@@ -323,19 +325,19 @@
             or session.attempt != event.attempt
         ):
             return
-        session.unclaimed = session.withdrawn = True
+        session.claim_lost = session.withdrawn = True
         for action in self.token_sessions.handle(self._now / 1000, ts.OwnedElsewhere(event.session)):
             if isinstance(action, ts.Forward):
-                passed = ev.PassOn(action.request, event.claim)
+                passed = ev.ForwardRequest(action.request, event.claim)
                 self._out.append(
                     passed
-                    if event.reached
-                    else ev.AnswerDown(action.request, ts.RejectionReason.OWNER_UNREACHABLE)
+                    if event.quorum_reached
+                    else ev.AnswerRejected(action.request, ts.RejectionReason.OWNER_UNREACHABLE)
                 )
         self._tell(fl.Withdrawn(event.session))
         self._attempt(at.IntentFailed(event.session, event.attempt))
 
-    def _adopted(self, event: ev.Adopted) -> None:
+    def _adopted(self, event: ev.SessionsTakenOver) -> None:
         for one in event.sessions:
             if self.attempts.is_known(one.set_up):
                 self._confirm(event.node, one)
@@ -343,20 +345,20 @@
                 self._adopt(event, one)
         self._link_perhaps_unwanted(event.node)
 
-    def _confirm(self, node: int, one: ev.Adoptee) -> None:
+    def _confirm(self, node: int, one: ev.TakenOverSession) -> None:
         """A session of this director under its new run: what was ordered meanwhile was refused."""
         own = self.attempts.attempt_of(one.set_up)
         session = self.sessions.get(own[0]) if own is not None else None
-        if session is not None and not one.until and session.rung != one.rung:
-            booked = self.booked(session, session.rung)
-            self._out.append(ev.ChangeRung(one.set_up, node, session.rung, booked))
+        if session is not None and not one.parked_until_s and session.rung != one.rung:
+            reservation = self.reservation(session, session.rung)
+            self._out.append(ev.ChangeRung(one.set_up, node, session.rung, reservation))
 
-    def _adopt(self, event: ev.Adopted, one: ev.Adoptee) -> None:
+    def _adopt(self, event: ev.SessionsTakenOver, one: ev.TakenOverSession) -> None:
         """Go on with a session where its last owner left it; its box says since when."""
         token = one.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         place = ts.ParkedLocation(event.node, one.set_up, one.path_token)
-        adopt = ts.Adopt(token.id, paid, token.expires, place, one.until)
+        adopt = ts.Adopt(token.id, paid, token.expires, place, one.parked_until_s)
         for action in self.token_sessions.handle(self._now / 1000, adopt):
             match action:
                 case ts.Withdraw(session):
@@ -366,21 +368,21 @@
                 case ts.Adopted(number):
                     self._resume(number, event, one, paid)
                 case ts.SendManifest(request, session):
-                    self._out.append(ev.ShowManifest(request, self.sessions[session]))
+                    self._out.append(ev.AnswerManifest(request, self.sessions[session]))
                 case ts.QueryOwner(request):
-                    self._out.append(ev.AskAbout(request, token.id))
+                    self._out.append(ev.FindSession(request, token.id))
 
-    def _resume(self, number: int, event: ev.Adopted, one: ev.Adoptee, paid: bool) -> None:
+    def _resume(self, number: int, event: ev.SessionsTakenOver, one: ev.TakenOverSession, paid: bool) -> None:
         token, klass = one.token, self._classes[one.token.klass]
         terms = self.settings.classes[klass]
         best = terms.top if token.best_rung is None else min(token.best_rung, terms.top)
         made = ev.Session(number, token, one.title, klass, paid, one.path_token, top=max(best, terms.floor))
-        made.rung, made.node, made.attempts, made.started = one.rung, event.node, 1, self._now
-        made.since = one.at
+        made.rung, made.node, made.attempts, made.started_ms = one.rung, event.node, 1, self._now
+        made.owned_since_ms = one.owned_since_ms
         self.sessions[number] = made
         self._link_wanted(event.node)
         self._attempt(at.Resume(number, event.node, one.rung, one.set_up, event.boot, event.counter))
-        self._out.append(ev.Account(self._opened(made, one.at, one.set_up)))
+        self._out.append(ev.WriteLedgerEntry(self._opened(made, one.owned_since_ms, one.set_up)))
         self._tell(fl.Resumed(self._ask(made, one.title.first_cell, one.title.holders, 0.0), event.node))
         self._tell(fl.Note(number, event.node, fl.NoteKind.RUNG, float(one.rung)))
 
@@ -388,19 +390,19 @@
         """Another director owns the session now: its end here, by the box's clock, is its beginning there."""
         found = self.attempts.attempt_of(set_up)
         if found is None or not self.attempts.is_known(set_up):
-            self._out.append(ev.SetUpLost(set_up))
+            self._out.append(ev.DropOwnership(set_up))
             self._claim(ts.ParkedTakenOver(set_up))
             return
         session = self.sessions.get(found[0])
-        if session is not None and 0 < when < session.since:
+        if session is not None and 0 < when < session.owned_since_ms:
             return  # of an earlier time that it was this director's
-        self._out.append(ev.SetUpLost(set_up))
+        self._out.append(ev.DropOwnership(set_up))
         self._claim(ts.OwnedElsewhere(found[0]))
         self._attempt(at.EndedAtBox(*found, fl.Outcome.CANCELLED, when))
 
     # ---- The module ---------------------------------------------------------------------------------------
     def _fault(self, words: str) -> None:
-        self._out.append(ev.Say("exception", detail=words))
+        self._out.append(ev.WriteLog("exception", detail=words))
 
     def _tell(self, event: fl.Event) -> None:
         self._driver.deliver(self._now, event)
@@ -411,7 +413,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.SetRung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp():
                 self._set_up(action)
             case fl.Refuse(number, come_back_ms):
@@ -421,22 +423,22 @@
                 self._claim(ts.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
-                self._out.append(ev.StartTimer(delay_ms, ev.TimerDue(token)))
+                self._out.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
-                self._attempt(at.Cancel(number))
+                self._attempt(at.CancelSession(number))
             case fl.Log(text):
-                self._out.append(ev.Say("module", detail=text))
+                self._out.append(ev.WriteLog("module", detail=text))
             case fl.WatchList() | fl.FetchList():
                 pass  # the long poll is always under way
             case fl.Probe():
-                self._out.append(ev.Say("probe not offered"))
+                self._out.append(ev.WriteLog("probe not offered"))
 
     def _set_up(self, action: fl.SetUp) -> None:
         session = self.sessions[action.session]
         session.node, session.attempt = action.node, session.attempts
         session.attempts += 1
         until = self._now + action.within_ms
-        place = session.place
+        place = session.parked_at
         if place is not None and place.node != action.node:
             # another box stands in that cell now: it does not have the set-up, and must not make a second one
             never = fl.Outcome.NEVER_SENT
@@ -450,12 +452,12 @@
 
     def _turned_away(self, number: int, what: str) -> None:
         token = self.sessions[number].token
-        self._out.append(ev.Account(lg.TurnedAway(token.tenant, token.klass, what)))
+        self._out.append(ev.WriteLedgerEntry(lg.TurnedAway(token.tenant, token.klass, what)))
 
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._turned_away(number, "refused")
         for answer in self.token_sessions.handle(self._now / 1000, ts.Refused(number)):
-            if isinstance(answer, ts.AnswerRefused):
+            if isinstance(answer, ts.SendRefusal):
                 self._out.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
@@ -467,20 +469,20 @@
 
     def _over(self, session: ev.Session, ran: bool) -> None:
         self.sessions.pop(session.number, None)
-        session.over = True
-        self._out.append(ev.SessionOver(session))
-        self._claim(ts.Ended(session.number, ran))
+        session.closed = True
+        self._out.append(ev.SessionClosed(session))
+        self._claim(ts.SessionEnded(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
         """The rate of a rung for a session's class, kB/s."""
         return self.settings.ladder_kb[rung] * self.settings.classes[session.klass].rate_scale
 
-    def booked(self, session: ev.Session, rung: int) -> ev.Booked:
+    def reservation(self, session: ev.Session, rung: int) -> ev.Reservation:
         """What the rung takes and what the player may choose: one thing, whatever the source offers."""
         rate, renditions = self.rate_kb(session, rung), session.title.source.renditions
         floor = self.rate_kb(session, self.settings.classes[session.klass].floor)
-        return ev.Booked(renditions.booked_kb(rate, floor), ceil(renditions.fit(rate, floor).cap_kbps))
+        return ev.Reservation(renditions.booked_kb(rate, floor), ceil(renditions.fit(rate, floor).cap_kbps))
 
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
@@ -489,13 +491,13 @@
                     session = self.sessions[number]
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
-                    self._out.append(ev.KeepIntent(number, attempt, session.token, box, set_up, node))
-                case at.SendSetUp():
+                    self._out.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
+                case at.StartSetUp():
                     self._put(action)
                 case at.SendRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
-                    booked = self.booked(self.sessions[number], rung)
-                    self._out.append(ev.ChangeRung(set_up, node, rung, booked))
+                    reservation = self.reservation(self.sessions[number], rung)
+                    self._out.append(ev.ChangeRung(set_up, node, rung, reservation))
                 case at.ReportStarted():
                     self._started(action)
                 case at.ReportEnded():
@@ -503,27 +505,29 @@
                 case at.AbortSetUp() | at.Release():
                     self._out.append(action)
 
-    def _put(self, put: at.SendSetUp) -> None:
+    def _put(self, put: at.StartSetUp) -> None:
         session = self.sessions[put.session]
         self._out.append(
-            ev.PutSetUp(
+            ev.SendSetUp(
                 session=session,
                 attempt=put.attempt,
                 set_up=self.attempts.set_up_id(put.session, put.attempt),
                 node=put.node,
                 rung=put.rung,
-                booked=self.booked(session, put.rung),
+                reservation=self.reservation(session, put.rung),
                 timeout_ms=max(put.timeout_at - self._now, 1.0),
             )
         )
 
     def _started(self, told: at.ReportStarted) -> None:
         session = self.sessions[told.session]
-        session.started, session.since = self._now, told.box_time_ms
-        if session.paid and session.place is None:
-            self._out.append(ev.SettleIntent(session.token.id, Verdict.STARTED))
+        session.started_ms, session.owned_since_ms = self._now, told.box_time_ms
+        if session.paid and session.parked_at is None:
+            self._out.append(ev.RecordIntentOutcome(session.token.id, IntentOutcome.STARTED))
         set_up = self.attempts.set_up_id(told.session, told.attempt)
-        self._out.append(ev.Account(self._opened(session, told.box_time_ms or int(self._now), set_up)))
+        self._out.append(
+            ev.WriteLedgerEntry(self._opened(session, told.box_time_ms or int(self._now), set_up))
+        )
         self._tell(fl.Started(told.session, told.node, told.attempt, 0.0))
         if told.load is not None:
             for kind, value in (
@@ -533,7 +537,7 @@
             ):
                 if value is not None:
                     self._tell(fl.Note(told.session, told.node, kind, value))
-        self._claim(ts.Started(told.session))
+        self._claim(ts.SessionStarted(told.session))
 
     def _opened(self, session: ev.Session, when: int, set_up: str) -> lg.Started:
         token = session.token
@@ -554,29 +558,33 @@
         session = self.sessions[told.session]
         ran = told.had_started or not told.outcome.proves_unrun
         set_up = told.set_up
-        kept = session.place is None or told.had_started
-        if session.paid and not told.parked and kept and not session.unclaimed:
-            verdict = (
-                Verdict.ENDED if told.had_started else Verdict.MAY_HAVE_RUN if ran else Verdict.NEVER_RAN
+        kept = session.parked_at is None or told.had_started
+        if session.paid and not told.parked and kept and not session.claim_lost:
+            outcome = (
+                IntentOutcome.ENDED
+                if told.had_started
+                else IntentOutcome.MAY_HAVE_RUN
+                if ran
+                else IntentOutcome.NEVER_RAN
             )
-            self._out.append(ev.SettleIntent(session.token.id, verdict))
+            self._out.append(ev.RecordIntentOutcome(session.token.id, outcome))
         if told.had_started:
             ended = lg.Ended(told.box_time_ms or int(self._now), set_up, estimated=not told.box_time_ms)
-            self._out.append(ev.Account(ended))
-        elif session.paid and ran and session.place is None:
+            self._out.append(ev.WriteLedgerEntry(ended))
+        elif session.paid and ran and session.parked_at is None:
             # the box may have done it and been paid for it: charged once, and marked as estimated
             token = session.token
             ends = self._ends_ms(token)
             unseen = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, ends)
-            self._out.append(ev.Account(unseen))
+            self._out.append(ev.WriteLedgerEntry(unseen))
         final = told.had_started or session.withdrawn
         if told.had_started or told.outcome is not fl.Outcome.OK:
             detail = f"{told.outcome.value}{', was playing' if told.had_started else ''}"
-            self._out.append(ev.Say("attempt ended", told.session, self._box_name(told.node), detail))
+            self._out.append(ev.WriteLog("attempt ended", told.session, self._box_name(told.node), detail))
         if final and told.parked:
             self.sessions.pop(session.number, None)
-            session.over = True
-            self._out.append(ev.SessionOver(session))
+            session.closed = True
+            self._out.append(ev.SessionClosed(session))
             until = self._now / 1000 + self.config.boxes.park_s
             self._claim(
                 ts.Parked(session.number, until, ts.ParkedLocation(told.node, set_up, session.path_token))
@@ -615,18 +623,18 @@
         for action in link.handle(event):
             match action:
                 case ln.OpenStream():
-                    self._out.append(ev.OpenNotices(node))
+                    self._out.append(ev.OpenNoticeStream(node))
                 case ln.CloseStream():
-                    self._out.append(ev.CloseNotices(node))
+                    self._out.append(ev.CloseNoticeStream(node))
                 case ln.StartRetryTimer(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.RetryDue(turn))))
+                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.RetryDue(turn))))
                 case ln.StartLossTimer(delay_ms, turn):
-                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimer(node, ln.LossTimeout(turn))))
+                    self._out.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossTimeout(turn))))
                 case ln.AllSessionsLost() if self._plays_on(node):
                     pass
                 case ln.AllSessionsLost():
                     if self.attempts.count_at(node):
-                        self._out.append(ev.Say("box silent", node=self._box_name(node)))
+                        self._out.append(ev.WriteLog("box silent", node=self._box_name(node)))
                     self._attempt(at.BoxLost(node))
                 case ln.CompareSessions():
                     pass  # hello itself carries what is compared: see _notice
@@ -655,9 +663,9 @@
                     }
                     kept -= foreign
                     if foreign:
-                        self._out.append(ev.FetchTaken(node))
+                        self._out.append(ev.FetchTakenOver(node))
                 self._attempt(at.BoxLost(node, boot, kept, counter))
-            case TakenThere(sessions, _, when):
+            case OwnershipLost(sessions, _, when):
                 for set_up in sessions:
                     self._taken(set_up, when)
             case Delivered(set_up, share):
@@ -668,10 +676,10 @@
                 self._note(node, set_up, fl.NoteKind.LINK, link)
                 if uplink is not None:
                     self._note(node, set_up, fl.NoteKind.UPLINK, uplink)
-            case RungThere(set_up, rung, when):
-                self._out.append(ev.Account(lg.Rerung(when or int(self._now), set_up, rung)))
+            case RungInForce(set_up, rung, when):
+                self._out.append(ev.WriteLedgerEntry(lg.Rerung(when or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
-            case EndedThere(set_up, how, when):
+            case SessionEnded(set_up, how, when):
                 found = self.attempts.attempt_of(set_up)
                 if found is not None:
                     outcome = ENDED.get(how, fl.Outcome.RESET)
@@ -683,21 +691,21 @@
             self._tell(fl.Note(found[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
-    def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
+    def _list(self, event: PollDue | ListReceived | ListFailed) -> None:
         for action in self.watch.handle(event):
             match action:
-                case TellList():
+                case PublishList():
                     self._listed(action)
                 case CacheList(boxes):
-                    self._out.append(ev.SaveList(boxes))
-                case PollLater(delay_ms):
+                    self._out.append(ev.SaveBoxList(boxes))
+                case SchedulePoll(delay_ms):
                     self._out.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
                     self._out.append(action)
 
-    def _listed(self, told: TellList) -> None:
+    def _listed(self, told: PublishList) -> None:
         if told.kind is fl.ListKind.FAILED:
-            self._out.append(ev.Say("box list not heard"))
+            self._out.append(ev.WriteLog("box list not heard"))
             self._tell(fl.NodeList(fl.ListKind.FAILED))
             return
         infos = [info for info in map(self._info, told.boxes) if info is not None]
@@ -723,11 +731,13 @@
             self._attempt(at.BoxDraining(node, gone))
             self._link_perhaps_unwanted(node)
         if self.config.peers.on:
-            self._out.append(ev.Listed(frozenset(box.name for box in self.boxes.values())))
+            self._out.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
 
     def _info(self, box: BoxEntry) -> fl.NodeInfo | None:
         if box.zone not in self._zones or box.kind not in self._kinds or box.cell >= self.settings.cells:
-            self._out.append(ev.Say("box not usable", node=box.name, detail="unknown zone, kind or cell"))
+            self._out.append(
+                ev.WriteLog("box not usable", node=box.name, detail="unknown zone, kind or cell")
+            )
             return None
         return fl.NodeInfo(
             node=box.number,
--- a/foxlift/director/list_client.py
+++ b/foxlift/director/list_client.py
@@ -10,8 +10,8 @@
 import structlog
 
 from foxlift.config import DirectorConfig
-from foxlift.http import Answer, Failure, Pool, PoolLimits
-from foxlift.membership import BoxList, ListAnswer, ListError, ListFailed, read_response
+from foxlift.http import Failure, Pool, PoolLimits, Response
+from foxlift.membership import BoxList, ListError, ListFailed, ListReceived, read_response
 from foxlift.membership.boxlist import encode_full
 from foxlift.store import FilePort
 
@@ -30,7 +30,7 @@
         config: DirectorConfig,
         loop: asyncio.AbstractEventLoop,
         files: FilePort,
-        feed: Callable[[ListAnswer | ListFailed], None],
+        feed: Callable[[ListReceived | ListFailed], None],
     ) -> None:
         self._name, self._poll_ms = config.name, config.box_list.poll_ms
         self._files, self._feed = files, feed
@@ -40,7 +40,7 @@
         limits = PoolLimits(
             connect_ms=CONNECT_TIMEOUT_MS,
             max_connections=MAX_CONNECTIONS,
-            max_answer_bytes=MAX_ANSWER_BYTES,
+            max_response_bytes=MAX_ANSWER_BYTES,
         )
         self._pool = Pool(loop, url.hostname or "127.0.0.1", url.port or 80, limits)
 
@@ -84,12 +84,12 @@
         """Close all connections."""
         self._pool.close()
 
-    def _answered(self, result: Answer | Failure) -> None:
+    def _answered(self, result: Response | Failure) -> None:
         if isinstance(result, Failure) or result.status not in (200, 304):
             self._feed(ListFailed())
             return
         if result.status == 304:
-            self._feed(ListAnswer(None))
+            self._feed(ListReceived(None))
             return
         try:
             news = read_response(result.body)
@@ -97,4 +97,4 @@
             self._log.warning("box list not readable", detail=str(error))
             self._feed(ListFailed(unreadable=True))
             return
-        self._feed(ListAnswer(news))
+        self._feed(ListReceived(news))
--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -341,7 +341,7 @@
     def _end_playing(self, session: _Session, cause: int) -> None:
         """Its viewer wants no more: the box is told why, and the viewer is owed nothing."""
         session.release_message = rtsp.release(session.tag, cause)
-        self._attempt(at.Cancel(session.number))
+        self._attempt(at.CancelSession(session.number))
 
     def _withdraw(self, session: _Session) -> None:
         """The viewer waits no longer."""
@@ -350,7 +350,7 @@
         self._actions.append(ev.ChangeViewerSessions(session.conn, -1))
         del self._by_tag[session.tag]
         self._notify_module(fl.Withdrawn(session.number))
-        self._attempt(at.Cancel(session.number))
+        self._attempt(at.CancelSession(session.number))
         if not self.attempts.has_attempt(session.number):
             self.sessions.pop(session.number, None)
 
@@ -402,7 +402,7 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.SetRung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp(number, node, within_ms):
                 session = self.sessions[number]
                 session.node, session.server_conn = node, 0
@@ -417,13 +417,13 @@
             case fl.SetTimer(delay_ms, token):
                 self._actions.append(ev.StartTimer(delay_ms, fl.Wake(token)))
             case fl.Cancel(number):
-                self._attempt(at.Cancel(number))
+                self._attempt(at.CancelSession(number))
             case fl.Move(number):
                 session = self.sessions.get(number)
                 if session is not None and session.state is _State.PLAYING:
                     session.release_message = rtsp.move(session.tag)
                     self._release_viewer(session.conn, session.tag, viewers.move(session.tag))
-                    self._attempt(at.Cancel(number))
+                    self._attempt(at.CancelSession(number))
             case fl.Log(text):
                 self._actions.append(ev.WriteLog("module", text))
             case fl.WatchList() | fl.FetchList():
@@ -444,7 +444,7 @@
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
             match action:
-                case at.SendSetUp(number, attempt, node, _, until):
+                case at.StartSetUp(number, attempt, node, _, until):
                     self._actions.append(ev.QueueSetup(number, node))
                     delay = max(until - self._now, 0.0)
                     self._actions.append(ev.StartTimer(delay, ev.AttemptTimedOut(number, attempt)))
--- a/foxlift/rollout/messages.py
+++ b/foxlift/rollout/messages.py
@@ -122,7 +122,7 @@
 class ChangeRequest(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """An operator's order: a change, or with `withdraw` that a version be taken back."""
 
-    request: RequestId
+    request_id: RequestId = msgspec.field(name="request")
     change: Change = Change()
     withdraw: Version = 0
 
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxlift.consensus import Answer as RegisterAnswer
-from foxlift.consensus import Ask as RegisterAsk
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
 from foxlift.consensus import register as registers
 from foxlift.rollout import acceptor, follower, group, hub, watcher
 from foxlift.rollout.acceptor import OpenVersion
@@ -81,7 +81,7 @@
     """Another member's message to this one's acceptor."""
 
     correlation_id: int
-    request: RegisterAsk
+    message: RegisterAsk
 
 
 @dataclass(frozen=True, slots=True)
@@ -300,9 +300,9 @@
         match event:
             case ChangeRequested(correlation_id, request):
                 return self._carry_out(now, member.request_change(now, correlation_id, request))
-            case RegisterRequested(correlation_id, request):
+            case RegisterRequested(correlation_id, message):
                 return self._carry_out(
-                    now, member.handle_acceptor_event(acceptor.Asked(correlation_id, request))
+                    now, member.handle_acceptor_event(acceptor.RequestReceived(correlation_id, message))
                 )
             case Stored(correlation_id, ok):
                 stored = acceptor.Stored(correlation_id) if ok else acceptor.StoreFailed(correlation_id)
--- a/foxlift/standins/notice_streams.py
+++ b/foxlift/standins/notice_streams.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from foxlift.boxes.notices import BoxNotice, EndedThere, encode_notice
-from foxlift.http import StreamOut
+from foxlift.boxes.notices import BoxNotice, SessionEnded, encode_notice
+from foxlift.http import ResponseStream
 
 MAX_KEPT_ENDS = 200  # of one director's sessions, kept for its next stream or incarnation
 
@@ -15,9 +15,9 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._open: dict[str, StreamOut] = {}
+        self._open: dict[str, ResponseStream] = {}
         self._lost_at: dict[str, float] = {}  # loop seconds, of directors that have sessions and no stream
-        self._ends: dict[str, dict[str, EndedThere]] = {}
+        self._ends: dict[str, dict[str, SessionEnded]] = {}
 
     def restart(self) -> None:
         """Begin as a new process: no end of an earlier one is known."""
@@ -34,12 +34,12 @@
         if stream is not None:
             stream.finish()
 
-    def add(self, director: str, stream: StreamOut) -> None:
+    def add(self, director: str, stream: ResponseStream) -> None:
         """A director has opened its stream."""
         self._open[director] = stream
         self._lost_at.pop(director, None)
 
-    def remove(self, director: str, stream: StreamOut) -> bool:
+    def remove(self, director: str, stream: ResponseStream) -> bool:
         """A stream is gone; whether it was its director's present one."""
         if self._open.get(director) is not stream:
             return False
@@ -67,13 +67,13 @@
         if stream is not None:
             stream.write(encode_notice(notice))
 
-    def keep_end(self, director: str, notice: EndedThere) -> None:
+    def keep_end(self, director: str, notice: SessionEnded) -> None:
         """Keep the end of a session, which its director may not have heard."""
         kept = self._ends.setdefault(director, {})
         kept[notice.session] = notice
         while len(kept) > MAX_KEPT_ENDS:
             del kept[next(iter(kept))]
 
-    def kept_ends(self, director: str) -> tuple[EndedThere, ...]:
+    def kept_ends(self, director: str) -> tuple[SessionEnded, ...]:
         """The latest ends of a director's sessions."""
         return tuple(self._ends.get(director, {}).values())
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -15,7 +15,7 @@
 
 from foxlift import interface as fl
 from foxlift.ledger import TurnedAway
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 
 
 def cap_of(reply: Reply) -> int:
@@ -215,7 +215,7 @@
         assert (await world.manifest(paid)).status == 200
         assert world.set_ups("a") == 1
         again = world.new_director(files=MemoryFiles(files.data))
-        assert again.book.known["a"].verdict is Verdict.STARTED
+        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     edit = "(front (port 0) => (front (port 0) (intent-ms 150)"
     run(tmp_path, test, files=files, edit=edit)
@@ -454,7 +454,7 @@
         over = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(200)]
         turned = parse(await over[-1][0].read())
         assert (turned.status, turned.headers["retry-after"]) == (503, "1")
-        assert world.director.server.turned_away > 0
+        assert world.director.server.rejected_connections > 0
         # the idle ones are closed when their time is up, and the door is open again
         await world.until(lambda: len(world.director.server.connections) < 100, 10.0)
         assert (await world.manifest(world.token("b"))).status == 200
@@ -478,22 +478,22 @@
         daemon = world.director
         first = await reload()
         assert [(await reload()).body for _ in range(3)] == [first.body] * 3
-        assert daemon.answers.reloads_ready >= 2
+        assert daemon.answers.cached_reloads >= 2
         (session,) = daemon.core.sessions.values()
         session.rung = 0  # as a SetRung of the module does
         lower = await reload()
         assert cap_of(lower) < cap_of(first)
         assert cap_of(await reload()) == cap_of(lower)
-        ready = daemon.answers.reloads_ready
+        ready = daemon.answers.cached_reloads
         (box,) = [b for b in world.fleet.boxes.values() if b.model.sessions]
         box.die()
         await world.until(lambda: not daemon.core.sessions)
-        assert not daemon.answers._ready
-        assert not daemon.answers._ready_of
+        assert not daemon.answers._cached
+        assert not daemon.answers._cached_keys
         again = await reload()
         assert again.status == 200
         assert base_of(again) != base_of(first)
-        assert daemon.answers.reloads_ready == ready
+        assert daemon.answers.cached_reloads == ready
         writer.close()
 
     run(tmp_path, test)
@@ -544,6 +544,6 @@
     async def test(world: World) -> None:
         assert (await world.manifest(world.token("a", "graded"))).status == 200
         again = world.new_director(files=MemoryFiles(files.data))
-        assert again.book.known["a"].verdict is Verdict.STARTED
+        assert again.intent_log.recovered["a"].outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=files)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,7 +14,7 @@
 from foxlift import interface as fl
 from foxlift.config import ConfigError
 from foxlift.http import Cors
-from foxlift.store import Verdict
+from foxlift.store import IntentOutcome
 
 PREFLIGHT = (
     "origin: http://page.example\r\naccess-control-request-method: GET\r\n"
@@ -269,9 +269,9 @@
         account = world.director.journal.book.account
         assert [use.attempts for line, use in account.lines.items() if line.rung < 0] == [1]
         assert len(account.open) == 1
-        assert world.director.book is not None
-        kept = world.new_director(files=MemoryFiles(disk.data)).book.known["a"]
-        assert kept.verdict is Verdict.STARTED
+        assert world.director.intent_log is not None
+        kept = world.new_director(files=MemoryFiles(disk.data)).intent_log.recovered["a"]
+        assert kept.outcome is IntentOutcome.STARTED
 
     run(tmp_path, test, files=disk)
 
@@ -331,7 +331,7 @@
         assert (await world.manifest(token)).status == 410
         assert world.set_ups("a") == 1
         assert world.director.core.sessions == {} and world.director.core.attempts.live_count == 0
-        assert all(claim.place is None for claim in world.director.core.token_sessions._by_token.values())
+        assert all(entry.location is None for entry in world.director.core.token_sessions._by_token.values())
 
     edit = "(boxes (lost-after-ms 400) => (boxes (lost-after-ms 400) (park-s 1)" if how == "too late" else ""
     run(tmp_path, test, edit=edit)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foxlift.consensus.messages import Accept, Ballot, Prepare, Promise, Reject, Taken
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject
 from foxlift.rollout import acceptor, agent, hub, watcher
 from foxlift.rollout.acceptor import Acceptor, register_key, register_version
 from foxlift.rollout.agent import Agent, Problem
@@ -458,7 +458,7 @@
 # ---- An acceptor ------------------------------------------------------------------------------------------
 def told(made: Acceptor, number: int, message: Prepare | Accept) -> object:
     """The answer to a message once the disk has it."""
-    (action,) = made.handle(acceptor.Asked(number, message))
+    (action,) = made.handle(acceptor.RequestReceived(number, message))
     if isinstance(action, acceptor.Store):
         (action,) = made.handle(acceptor.Stored(number))
     assert isinstance(action, acceptor.Reply)
@@ -468,14 +468,14 @@
 def test_an_acceptor_answers_only_what_its_disk_has() -> None:
     made, low, high = Acceptor(), Ballot(1, "a"), Ballot(2, "b")
     key = register_key(1)
-    (store,) = made.handle(acceptor.Asked(1, Prepare(key, high, 0)))
+    (store,) = made.handle(acceptor.RequestReceived(1, Prepare(key, high, 0)))
     assert isinstance(store, acceptor.Store)
     assert made.handle(acceptor.Stored(1)) == [acceptor.Reply(1, Promise(key, high))]
     assert told(made, 2, Prepare(key, low, 0)) == Reject(key, low, high)
     assert told(made, 3, Accept(key, low, 0, "x")) == Reject(key, low, high)
-    assert told(made, 4, Accept(key, high, 0, "y")) == Taken(key, high)
+    assert told(made, 4, Accept(key, high, 0, "y")) == Accepted(key, high)
     assert told(made, 5, Prepare(key, Ballot(3, "a"), 0)) == Promise(key, Ballot(3, "a"), high, "y")
-    made.handle(acceptor.Asked(6, Accept(key, Ballot(4, "a"), 0, "z")))
+    made.handle(acceptor.RequestReceived(6, Accept(key, Ballot(4, "a"), 0, "z")))
     assert made.handle(acceptor.StoreFailed(6)) == [acceptor.Reply(6, None)]
     assert made.handle(acceptor.Stored(6)) == []
 
@@ -531,7 +531,7 @@
     def replace(self, name: str, data: bytes) -> None:
         self.files[name] = data
 
-    def replace_later(self, name: str, data: bytes, done) -> None:  # type: ignore[no-untyped-def]
+    def replace_async(self, name: str, data: bytes, done) -> None:  # type: ignore[no-untyped-def]
         self.files[name] = data
         done(None)
 
@@ -558,7 +558,7 @@
         """Nobody else has these."""
 
 
-def test_a_servers_book_gives_back_log_open_versions_and_runs() -> None:
+def test_a_servers_store_gives_back_log_open_versions_and_runs() -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     log = store.log
@@ -575,7 +575,7 @@
     assert twice.log.content.digest == log.content.digest and list(twice.log.entries) == list(log.entries)
 
 
-def test_a_directors_book_is_used_only_where_it_has_no_reverted_change() -> None:
+def test_a_directors_store_is_used_only_where_it_is_undamaged() -> None:
     files = MemoryFiles()
     store = DirectorStore(files)
     changes = [(number + 1, Change({f"titles/t{number}": "1"}), False) for number in range(5)]
@@ -592,7 +592,7 @@
     assert DirectorStore(MemoryFiles()).version == 0
 
 
-def test_a_servers_book_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
+def test_a_servers_store_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     for number in range(20):
