--- a/foxlift/platform/__init__.py
+++ b/foxlift/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The director on the operators' platform: JSON lines from viewers, RTSP to boxes, the coordinator's feed.
+"""The director on the operators' platform: JSON lines from viewers, RTSP to servers, the coordinator's list.
 
-One more way in and out of the same program: every choice of box, rung, wait and refusal is the module's
-(`foxlift/logic.py`). Nothing is imported here, for a director starts anew often and in little memory.
+It is another front end of the same program: the module (`foxlift/logic.py`) makes every choice of server,
+rung, wait and refusal. Nothing is imported here because a director restarts often and in little memory.
 """
--- a/foxlift/platform/__main__.py
+++ b/foxlift/platform/__main__.py
@@ -4,7 +4,7 @@
 
 import signal
 
-# a reload or a stop may be asked for as soon as the process is there
+# SIGHUP may arrive as soon as the process exists; until the handler is set, it must not end the process
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import asyncio  # noqa: E402
@@ -21,14 +21,14 @@
 
 
 async def serve(path: str) -> int:
-    """Serve until told to stop, and end the process with 0; the exit code where it cannot serve."""
+    """Serve until SIGTERM, then exit with 0. Return the exit code if it cannot serve."""
     try:
         with open(path, "rb") as file:
             config = read(file.read())
     except (OSError, ConfigError) as error:
         print(f"foxlift: configuration: {error}", file=sys.stderr)
         return 2
-    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # the smaller of the two figures binds
+    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # the smaller of the two limits applies
     config = dataclasses.replace(config, sockets=min(config.sockets, allowed))
     loop = asyncio.get_running_loop()
     director = PlatformDirector(config, path, loop)
@@ -40,15 +40,15 @@
     except OSError as error:
         print(f"foxlift: listen: {error}", file=sys.stderr)
         return 2
-    # what is there by now stays: no collection needs to look at it again
+    # objects created so far stay: exclude them from further collections
     gc.collect()
     gc.freeze()
     director.log.write("serving", config.name)
     await director.ended
     director.log.write("ended", director.summary_line())
     director.log.write("believed at the end", director.servers_line())
-    # at once: taking the loop apart gives signals back to the system, and a SIGHUP would end the process by
-    # itself; all that is owed is written, and sockets are the machine's to close
+    # exit without closing the loop: that would restore the default signal handlers, and a SIGHUP would then
+    # kill the process. Everything pending is written, and the kernel closes the sockets.
     sys.stderr.flush()
     os._exit(0)
 
--- a/foxlift/platform/buffers.py
+++ b/foxlift/platform/buffers.py
@@ -1,6 +1,6 @@
-"""Bounds on what is written to a connection and not taken by its other side."""
+"""Limits on bytes written to a connection that its peer has not received yet."""
 
 from __future__ import annotations
 
-MAX_UNSENT_BYTES = 256 * 1024  # bytes written and not taken by the other side
-HIGH_WATER_BYTES = 64 * 1024  # bytes unsent above which the other side is not read from
+MAX_UNSENT_BYTES = 256 * 1024  # above it, the connection is aborted
+HIGH_WATER_BYTES = 64 * 1024  # above it, nothing is read from the peer
--- a/foxlift/platform/client_connection.py
+++ b/foxlift/platform/client_connection.py
@@ -1,6 +1,6 @@
-"""One connection from clients: bytes in, messages of `clients` out, and how it is closed.
+"""One connection from a client: parses received bytes into messages of `viewers`, writes, and closes.
 
-A client that does not read is not read from, and is dropped at `MAX_UNSENT_BYTES` bytes.
+Nothing is read from a client that does not read; at `MAX_UNSENT_BYTES` its connection is aborted.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from foxlift.platform.eviction import ClosingConnections
 from foxlift.platform.setups import ClientSocket
 
-CLOSE_MS = 1000.0  # for a client to take what is written before its connection is cut
+CLOSE_TIMEOUT_MS = 1000.0  # time for a client to receive unsent bytes before its connection is aborted
 
 
 class OpenRequests(Protocol):
-    """What a connection asks the core."""
+    """What a connection uses of the core."""
 
     def open_requests(self, conn: int) -> int:
-        """Set-ups that came on the connection and have no answer yet."""
+        """Return the number of open set-ups of the connection."""
 
 
 class ClientConnectionOwner(Protocol):
@@ -38,58 +38,58 @@
 
     @property
     def core(self) -> OpenRequests:
-        """The director without I/O."""
+        """The core of the director."""
 
     def notify_core(self, event: ev.Event) -> None:
-        """Have the core handle an event."""
+        """Pass an event to the core."""
 
     def after_reading(self, callback: Callable[[], None]) -> None:
-        """Call back once the loop has read its sockets."""
+        """Call `callback` once the loop has read all sockets."""
 
     def client_opened(self, client: ClientConnection) -> int:
-        """A connection came; its number."""
+        """Register an accepted connection and return its number."""
 
     def client_read(self) -> float:
-        """Bytes are read; how long they may have lain unread, ms."""
+        """Note a read and return how long its bytes may have been unread, ms."""
 
     def client_received(self, number: int, proven: bool, partial: bool) -> None:
-        """Bytes came on a connection."""
+        """Note received bytes of a connection."""
 
     def client_left(self, number: int) -> None:
-        """Nothing more will be heard on a connection, though it may still be written to."""
+        """Nothing more is read from a connection, but unsent bytes may remain."""
 
     def client_closed(self, number: int) -> None:
-        """A connection is over."""
+        """A connection has closed."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection from viewers."""
+    """One connection from a client, for any number of viewers."""
 
     def __init__(self, director: ClientConnectionOwner) -> None:
         self._director = director
         self._reader = viewers.LineReader()
         self.number = 0
         self.transport: asyncio.Transport | None = None
-        self._write_blocked = self._reading_paused = False  # more is unsent than may be; it is not read from
+        self._write_blocked = self._reading_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client connected."""
+        """Handle the opened connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         self.number = self._director.client_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes from the client."""
+        """Handle bytes from the client."""
         if self.transport is None or self.transport.is_closing():
             return
-        waited = self._director.client_read()
+        waited_ms = self._director.client_read()
         try:
             for line in self._reader.feed(data):
                 message = viewers.read_line(line)
                 proven = message is not None and not isinstance(message, viewers.InvalidSetup)
                 self._director.client_received(self.number, proven, False)
                 if message is not None:
-                    self._director.notify_core(ev.ViewerMessageReceived(self.number, message, waited))
+                    self._director.notify_core(ev.ViewerMessageReceived(self.number, message, waited_ms))
                 if self.transport.is_closing():
                     return
         except viewers.ProtocolError:
@@ -100,20 +100,20 @@
             self._director.client_received(self.number, False, True)
 
     def eof_received(self) -> None:
-        """The client left. The transport closes by itself, but not before all is written, if it ever is."""
+        """Handle the client's end of stream. The transport closes once everything is written, if ever."""
         self._director.client_left(self.number)
         self._director.after_reading(self._bound_close)
 
     def pause_writing(self) -> None:
-        """The client does not read: it is not read from either, once nothing of its asking is open."""
+        """The write buffer exceeds its limit: stop reading from the client once it has no open set-up."""
         self._write_blocked = True
         self._director.write_blocked.add(self)
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Read no more where too much is unsent, unless it has a set-up open that it may still take back.
+        """Pause reading while too much is unsent, unless the client has an open set-up it may still cancel.
 
-        A set-up may follow in the very read that made it too much: then reading goes on again.
+        A set-up may follow in the same read that exceeded the limit; reading is then resumed.
         """
         if not self._write_blocked or self.transport is None or self.transport.is_closing():
             return
@@ -125,7 +125,7 @@
         self._reading_paused = pause
 
     def resume_writing(self) -> None:
-        """It reads again."""
+        """The client has read enough: resume reading."""
         self._write_blocked = False
         self._director.write_blocked.discard(self)
         if self._reading_paused and self.transport is not None and not self.transport.is_closing():
@@ -133,14 +133,14 @@
         self._reading_paused = False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is over."""
+        """Handle the closed connection."""
         self.transport = None
         self._director.write_blocked.discard(self)
         self._director.closing.discard(self)
         self._director.client_closed(self.number)
 
     def send(self, data: bytes) -> bool:
-        """Write; False where the connection is over."""
+        """Write `data`. Return False if the connection is closed or aborted for unsent bytes."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
@@ -152,7 +152,7 @@
         return True
 
     def close(self) -> None:
-        """Read no more and close after what is written; cut off where the client does not take it."""
+        """Stop reading, write what is unsent and close; abort after `CLOSE_TIMEOUT_MS`."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
             self._director.after_reading(self._bound_close)
@@ -164,7 +164,7 @@
         return self.transport is None or self.transport.is_closing()
 
     def socket_state(self) -> ClientSocket:
-        """What the machine holds of the connection that was not read yet."""
+        """Return what is unread on the connection's socket."""
         if self.transport is None or self.transport.is_closing():
             return ClientSocket.NOTHING
         poller = select.poll()
@@ -175,12 +175,12 @@
         return ClientSocket.BYTES if found else ClientSocket.NOTHING
 
     def _bound_close(self) -> None:
-        """Bound the time and the number of the descriptors that unsent bytes keep behind a close."""
+        """Limit the time and the number of descriptors that closed connections with unsent bytes occupy."""
         if self.transport is not None:
             self._director.closing.add(self)
-            self._director.timeline.later(CLOSE_MS, self.abort)
+            self._director.timeline.later(CLOSE_TIMEOUT_MS, self.abort)
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -1,22 +1,23 @@
-"""One director on the platform without its sockets: messages in, messages and timers out.
-
-Nothing of who plays where is decided here: the module (`foxlift/logic.py`) is told each event in the order in
-which it came and what it returns is carried out. `foxlift.decide.attempts` keeps the life of each attempt;
-its record of intents is off, since no disk of a platform director outlives it.
-
-    session   event                             next      the viewer is told
-    (none)    START that makes sense            ASKED     nothing yet
-    (none)    START with `at`                   STANDS    nothing
-    ASKED     the box's own whole 200           STANDS    STARTED with the box's description
-    ASKED     the module refuses or fails it    (none)    FINISH, with a time to come back where allowed
-    ASKED     FINISH, or the connection closes  LEFT      FINISHED, where there is someone to tell
-    ASKED     the process ends                  LEFT      FINISH
-    LEFT      its attempt ends                  (none)    nothing
-    STANDS    the box releases it, or is lost   (none)    FINISH; nothing where its viewer ended it
-    STANDS    FINISH                            (none)    FINISHED
-
-Ids are 16 hex digits outside and small numbers inside; both are forgotten as soon as nothing is owed on
-either side. Boxes are known by the number the list gives them, never by address.
+"""Core of a platform director, without sockets: messages in, messages and timers out.
+
+The core makes no placement decisions. It passes each event to the module (`foxlift/logic.py`) in the order of
+arrival and carries out the actions that the module returns. `foxlift.decide.attempts` tracks each attempt;
+its log of intents is off, because a platform director has no disk that outlives it.
+
+    session    event                                next       sent to the viewer
+    (none)     START, valid                         REQUESTED  nothing yet
+    (none)     START with `at`                      PLAYING    nothing
+    REQUESTED  complete 200 of the server           PLAYING    STARTED with the server's description
+    REQUESTED  the module refuses or fails it       (none)     FINISH, with a wait time where allowed
+    REQUESTED  FINISH, or the connection closes     WITHDRAWN  FINISHED, if the connection is open
+    REQUESTED  the process exits                    WITHDRAWN  FINISH
+    WITHDRAWN  its attempt ends                     (none)     nothing
+    PLAYING    its server releases it, or is lost   (none)     FINISH; nothing if its viewer ended it
+    PLAYING    FINISH                               (none)     FINISHED
+
+On the wire a session has a tag of 16 hexadecimal digits, inside the process a small number. Both are dropped
+as soon as neither side expects a message about the session. Servers are identified by their number in the
+list, never by address.
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
 from foxlift.wiresettings import LOAD_FIELDS
 
 REFUSED, FAILED, NORMAL, INTERRUPTED, INVALID = 34, 41, 16, 41, 96  # causes of FINISH
-MOVED = 31  # cause of a release at a box whose viewer is not owed one
-# how long a handed-over session waits for the list to name its box: a silent watch is asked anew by then
+MOVED = 31  # cause of a release at a server of which the viewer is not notified
+# how long a handed-over session waits for the list to name its server: enough for a silent watch to reconnect
 HANDOVER_TIMEOUT_MS = (
     discovery_watch.SILENCE_TIMEOUT_MS + discovery_watch.CONNECT_TIMEOUT_MS + discovery_watch.MAX_BACKOFF_MS
 )
-MAX_HANDOVERS = 4096  # of those at once
+MAX_HANDOVERS = 4096  # waiting at the same time
 
 _REFUSAL_OUTCOMES = {453: fl.Outcome.FULL, 454: fl.Outcome.NEVER_SENT, 504: fl.Outcome.RESET}  # others: ERROR
 _RELEASE_OUTCOMES = {16: fl.Outcome.OK, 31: fl.Outcome.CANCELLED}  # others: RESET
@@ -68,19 +69,19 @@
     conn: int  # of its viewer
     klass: int
     title: str
-    description: str  # empty once it stands
+    description: str  # empty once it plays
     state: _State
     rung: int = 0
     attempts: int = 0  # made so far
-    node: int = 0  # of the attempt that is out or plays
-    server_conn: int = 0  # that the attempt left on; 0: it has not left
+    node: int = 0  # of the current attempt
+    server_conn: int = 0  # on which the attempt was sent; 0: not sent yet; -1: closed
     sent_at: float = 0.0
     playing_since: float = 0.0
-    release_message: bytes = b""  # what its box is told where it does not end there by itself
+    release_message: bytes = b""  # sent to the server when the viewer or the module ends the session
 
 
 class Core:
-    """A director. `make` and `trace` are for tests."""
+    """The core of one director. `create_module` and `trace` are for tests."""
 
     def __init__(
         self,
@@ -93,43 +94,45 @@
         self._driver = Driver(self.module, self._carry_out, self._log_fault, trace)
         self.attempts = at.Attempts("")
         self.sessions: dict[int, _Session] = {}
-        self.counts: Counter[str] = Counter()  # what happened how often; for the last line and for tests
-        self.list_received = False  # whether a whole list was heard
+        self.counts: Counter[str] = Counter()  # number of occurrences by kind; for the log and for tests
+        self.list_received = False  # whether a full list was received
         self._classes, self._tenants = config.class_names, config.tenant_names
         self._columns = config.columns
         self._by_tag: dict[str, _Session] = {}
-        self._open_by_conn: dict[int, set[int]] = {}  # open set-ups of a viewer's connection
+        self._open_by_conn: dict[int, set[int]] = {}  # by viewer's connection: open set-ups
         self.viewer_releases = ViewerReleases()
         self.session_endings = SessionEndings()
-        self._handovers: dict[str, tuple[int, viewers.Start]] = {}  # by id: box is not on the list yet
+        self._handovers: dict[
+            str, tuple[int, viewers.Start]
+        ] = {}  # by tag: sessions whose server is not listed yet
         self._servers: dict[int, fl.NodeInfo] = {}
-        self._addresses: dict[int, Address] = {}  # of boxes listed, and of others that sessions play on
-        self._node_at: dict[Address, int] = {}  # the same the other way round
-        self._playing: dict[int, set[int]] = {}  # by box: sessions that play there
+        self._addresses: dict[int, Address] = {}  # of listed servers and of others with playing sessions
+        self._node_at: dict[Address, int] = {}  # inverse of `_addresses`
+        self._playing: dict[int, set[int]] = {}  # by server: playing sessions
         self._in_flight_on: dict[
             tuple[int, int], set[int]
-        ] = {}  # by box and connection: set-ups without an end
+        ] = {}  # by server and connection: unanswered set-ups
         self._last_number = 0
         self._now = 0.0
         self._actions: list[ev.Action] = []
 
-    # ---- What is known ------------------------------------------------------------------------------------
+    # ---- State ---------------------------------------------------------------------------------------------
     @property
     def unanswered(self) -> int:
-        """Set-ups taken and not answered."""
+        """Number of open set-ups: accepted and not answered."""
         return sum(len(numbers) for numbers in self._open_by_conn.values())
 
     def open_requests(self, conn: int) -> int:
-        """Set-ups of a viewer's connection that are taken and not answered."""
+        """Return the number of open set-ups of a viewer's connection."""
         return len(self._open_by_conn.get(conn, ()))
 
     def connection_of(self, number: int) -> int:
-        """The viewer's connection that a set-up came on; 0 where it is over."""
+        """Return the viewer's connection of a session; 0 if the session has ended."""
         session = self.sessions.get(number)
         return 0 if session is None else session.conn
 
     def table_sizes(self) -> dict[str, int]:
-        """Entries in each table."""
+        """Return the number of entries in each table."""
         return {
             "sessions": len(self.sessions),
             "ids": len(self._by_tag),
@@ -147,13 +150,17 @@
         }
 
     def server_usage(self) -> dict[int, tuple[int, int]]:
-        """For each box: sessions that play there, set-ups that are out."""
-        out = Counter(s.node for s in self.sessions.values() if s.state is not _State.PLAYING and s.node)
-        return {node: (len(self._playing.get(node, ())), out[node]) for node in {*self._playing, *out}}
+        """Return for each server the numbers of playing sessions and of unanswered set-ups."""
+        in_flight = Counter(
+            s.node for s in self.sessions.values() if s.state is not _State.PLAYING and s.node
+        )
+        return {
+            node: (len(self._playing.get(node, ())), in_flight[node]) for node in {*self._playing, *in_flight}
+        }
 
-    # ---- Events -------------------------------------------------------------------------------------------
+    # ---- Events --------------------------------------------------------------------------------------------
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
-        """Take one event in. `now` is Unix time in ms as the module's clock keeps it: it never steps back."""
+        """Handle one event and return the actions. `now`: Unix time in ms, which never steps back."""
         self._now, self._actions = now, []
         match event:
             case ev.ServerMessageReceived():
@@ -171,11 +178,11 @@
             case ev.SetupNotSent(number, node):
                 if self._waiting(number, node) is not None:
                     self._attempt_lost(number, at.CallFailure.CONNECT)
-            case ev.ServerLost(node, why):
-                self.counts["box lost, " + why] += 1
+            case ev.ServerLost(node, reason):
+                self.counts["box lost, " + reason] += 1
                 lost = [self.sessions[number].tag for number in sorted(self._playing.get(node, ()))]
                 self._attempt(at.BoxLost(node))
-                if why == server_pool.SILENT:  # it may have been cut off and play on for nobody
+                if reason == server_pool.SILENT:  # it may only be unreachable and still play
                     for tag in lost:
                         self._send_release(node, 0, tag, rtsp.release(tag, INTERRUPTED))
             case ev.HandoverTimedOut(tag):
@@ -190,30 +197,30 @@
         return self._actions
 
     def take_setup(self, now: float, number: int, node: int, conn: int) -> bytes | None:
-        """A connection is there: the set-up's bytes, or None where it is not to leave any more."""
+        """Record a set-up as sent and return its bytes, or None if it must not be sent any more."""
         self._now = now
         session = self._waiting(number, node)
         if session is None or now >= self.attempts.timeout_at(number):
-            return None  # its connection and its time-out came together, both too late
+            return None  # its time limit passed as the connection opened
         session.server_conn, session.sent_at = conn, now
         self._in_flight_on.setdefault((node, conn), set()).add(number)
-        within = max(self.attempts.timeout_at(number) - now, 1.0)
+        remaining_ms = max(self.attempts.timeout_at(number) - now, 1.0)
         klass = self.settings.classes[session.klass].name
         body = session.description.encode()
-        return rtsp.setup(session.tag, session.title, klass, session.rung, int(within), body)
+        return rtsp.setup(session.tag, session.title, klass, session.rung, int(remaining_ms), body)
 
     def is_waiting(self, number: int, node: int) -> bool:
-        """Whether an attempt of the request at that very box has still to leave."""
+        """Return whether an attempt of the request at this server is not sent yet."""
         return self._waiting(number, node) is not None
 
     def _waiting(self, number: int, node: int) -> _Session | None:
-        """The session, where an attempt of it at that very box has still to leave."""
+        """Return the session if its current attempt is at this server and not sent yet."""
         session = self.sessions.get(number)
         if session is None or session.state is not _State.REQUESTED or not self.attempts.has_attempt(number):
             return None
         return session if session.node == node and not session.server_conn else None
 
-    # ---- Viewers ------------------------------------------------------------------------------------------
+    # ---- Viewers -------------------------------------------------------------------------------------------
     def _viewer_message(self, event: ev.ViewerMessageReceived) -> None:
         conn, message = event.conn, event.message
         match message:
@@ -230,17 +237,17 @@
                 self._reject(conn, tag)
 
     def _reject(self, conn: int, tag: str) -> None:
-        """An error for what can't be served; its id may be that of another's session, which keeps its own."""
+        """Answer an invalid set-up with an error; another connection's session with its tag is unaffected."""
         self._actions.append(ev.RecordProtocolError(conn))
-        held = self._by_tag.get(tag)
-        if held is None or held.conn != conn:
+        existing = self._by_tag.get(tag)
+        if existing is None or existing.conn != conn:
             self._actions.append(ev.SendToViewer(conn, viewers.finish(tag, INVALID)))
             return
-        # the same connection says two things under one id: neither can be trusted, and both get one answer
-        if held.state is _State.PLAYING:
-            self._end_playing(held, INVALID)
+        # one connection used the tag twice with different content: end the first too, with the same answer
+        if existing.state is _State.PLAYING:
+            self._end_playing(existing, INVALID)
         else:
-            self._withdraw(held)
+            self._withdraw(existing)
         self._actions.append(ev.SendToViewer(conn, viewers.finish(tag, INVALID)))
 
     def _start(self, conn: int, start: viewers.Start, waited_ms: float) -> None:
@@ -251,15 +258,15 @@
             if start.plays_at is None:
                 self._reject(conn, start.tag)
             return
-        held = self._by_tag.get(start.tag)
+        existing = self._by_tag.get(start.tag)
         if start.plays_at is not None:
-            if held is None and start.tag not in self._handovers:
+            if existing is None and start.tag not in self._handovers:
                 self._hand_over(conn, start, start.plays_at)
             return
-        if held is not None:
-            same = held.state is _State.REQUESTED and held.description == start.description
+        if existing is not None:
+            same = existing.state is _State.REQUESTED and existing.description == start.description
             self.counts["id in use"] += 1
-            if not (same and held.conn == conn):  # sent twice: its first is answered
+            if not (same and existing.conn == conn):  # a repetition: the first one is answered
                 self._reject(conn, start.tag)
             return
         self.session_endings.expire(self._now)
@@ -301,14 +308,14 @@
             self._actions.append(ev.StartTimer(HANDOVER_TIMEOUT_MS, ev.HandoverTimedOut(start.tag)))
             self._write(self.viewer_releases.session_requested(self._now, conn))
             return
-        word = self.session_endings.find_end(self._now, start.tag, node)
-        if word is not None:
-            who, cause = word
+        recorded_end = self.session_endings.find_end(self._now, start.tag, node)
+        if recorded_end is not None:
+            source, cause = recorded_end
             self.counts["handed over after its end"] += 1
-            if who is EndSource.SERVER:
+            if source is EndSource.SERVER:
                 self._write(self.viewer_releases.session_requested(self._now, conn))
                 self._release_viewer(conn, start.tag, viewers.finish(start.tag, cause))
-            elif who is EndSource.VIEWER:
+            elif source is EndSource.VIEWER:
                 self._send_release(node, 0, start.tag, rtsp.release(start.tag, cause))
             return
         klass = self._classes[start.klass]
@@ -339,12 +346,12 @@
             self._withdraw(session)
 
     def _end_playing(self, session: _Session, cause: int) -> None:
-        """Its viewer wants no more: the box is told why, and the viewer is owed nothing."""
+        """The viewer ended the session: release it at its server; the viewer gets no release."""
         session.release_message = rtsp.release(session.tag, cause)
         self._attempt(at.CancelSession(session.number))
 
     def _withdraw(self, session: _Session) -> None:
-        """The viewer waits no longer."""
+        """The viewer no longer waits for an answer."""
         self._request_answered(session)
         session.state = _State.WITHDRAWN
         self._actions.append(ev.ChangeViewerSessions(session.conn, -1))
@@ -355,7 +362,7 @@
             self.sessions.pop(session.number, None)
 
     def _answer_open_requests(self) -> None:
-        """What may have run and may not be repeated has failed; the rest is harmless to try elsewhere."""
+        """Answer open requests: FAILED if one may have run and must not be repeated, else REFUSED."""
         for number in sorted(number for numbers in self._open_by_conn.values() for number in numbers):
             session = self.sessions[number]
             free = self.settings.classes[session.klass].repeat is fl.Repeat.FREE
@@ -374,7 +381,7 @@
         self._write(self.viewer_releases.connection_closed(self._now, conn))
 
     def _request_answered(self, session: _Session) -> None:
-        """Its one answer is given, or not owed any more."""
+        """Remove the set-up from the open ones: it has its one answer or needs none."""
         numbers = self._open_by_conn.get(session.conn)
         if numbers is not None:
             numbers.discard(session.number)
@@ -388,10 +395,10 @@
         if session.state is not _State.WITHDRAWN:
             self._actions.append(ev.ChangeViewerSessions(session.conn, -1))
 
-    # ---- The module ---------------------------------------------------------------------------------------
-    def _log_fault(self, words: str) -> None:
+    # ---- The module ----------------------------------------------------------------------------------------
+    def _log_fault(self, text: str) -> None:
         self.counts["exceptions"] += 1
-        self._actions.append(ev.WriteLog("exception", words))
+        self._actions.append(ev.WriteLog("exception", text))
 
     def _notify_module(self, event: fl.Event) -> None:
         self._driver.deliver(self._now, event)
@@ -427,7 +434,7 @@
             case fl.Log(text):
                 self._actions.append(ev.WriteLog("module", text))
             case fl.WatchList() | fl.FetchList():
-                pass  # the feed is always held
+                pass  # the list is always watched
             case fl.Probe():
                 self.counts["probe not offered"] += 1
 
@@ -440,7 +447,7 @@
         self._actions.append(ev.SendToViewer(session.conn, viewers.finish(session.tag, cause, wait_ms)))
         self._forget(session)
 
-    # ---- Attempts -----------------------------------------------------------------------------------------
+    # ---- Attempts ------------------------------------------------------------------------------------------
     def _attempt(self, event: at.Event) -> None:
         for action in self.attempts.handle(self._now, event):
             match action:
@@ -473,7 +480,7 @@
         self._attempt_lost(number, at.CallFailure.CANCELLED)
 
     def _attempt_lost(self, number: int, loss: at.CallFailure) -> None:
-        """The attempt that is out has no answer."""
+        """The current attempt has failed without an answer."""
         session = self.sessions.get(number)
         if session is None or not self.attempts.has_attempt(number) or session.state is _State.PLAYING:
             return
@@ -487,13 +494,13 @@
             return
         if self.attempts.has_attempt(number):
             self.counts["timed out" if session.server_conn else "not connected in time"] += 1
-            # what waited for a connection all the while has provably not left
+            # a set-up that still waits for a connection was certainly not sent
             self._attempt_lost(
                 number, at.CallFailure.TIMEOUT if session.server_conn else at.CallFailure.CONNECT
             )
 
     def _release(self, set_up: str, node: int) -> None:
-        """Nobody wants what the box may run for this attempt."""
+        """Release what the server may run for this attempt."""
         own = self.attempts.attempt_of(set_up)
         session = None if own is None else self.sessions.get(own[0])
         if session is not None and session.server_conn >= 0:
@@ -501,7 +508,7 @@
                 data = session.release_message or rtsp.release(session.tag, MOVED)
                 self._send_release(node, session.server_conn, session.tag, data)
             else:
-                # with its connection the set-up is given up anyhow
+                # if the connection closes, the server drops the set-up anyway
                 data = rtsp.cancel_setup(session.tag)
                 self.session_endings.setup_abandoned(self._now, node, session.server_conn, session.tag)
                 self._actions.append(
@@ -538,7 +545,7 @@
         )
 
     def _release_viewer(self, conn: int, tag: str, data: bytes) -> None:
-        """A session is over and its viewer is owed this."""
+        """Send the viewer the release of an ended session."""
         self._write(self.viewer_releases.add(self._now, conn, tag, data))
 
     def _write(self, writes: list[Write]) -> None:
@@ -559,7 +566,7 @@
         self._actions.append(ev.SetSessionCount(node, len(numbers)))
 
     def _setup_finished(self, session: _Session) -> None:
-        """The set-up that left on the session's connection has its end."""
+        """Remove the set-up from the unanswered ones of its server connection."""
         key = session.node, session.server_conn
         numbers = self._in_flight_on.get(key)
         if numbers is not None:
@@ -567,7 +574,7 @@
             if not numbers:
                 del self._in_flight_on[key]
 
-    # ---- Boxes --------------------------------------------------------------------------------------------
+    # ---- Servers -------------------------------------------------------------------------------------------
     def _server_message(self, event: ev.ServerMessageReceived) -> None:
         message, node = event.message, event.node
         session = self._by_tag.get(message.session)
@@ -577,22 +584,24 @@
             elif message.cseq == 2:
                 self.session_endings.confirmed(node, event.conn, message.session)
             return
-        mine = session is not None and session.node == node and self.attempts.has_attempt(session.number)
+        is_current = (
+            session is not None and session.node == node and self.attempts.has_attempt(session.number)
+        )
         if message.method == "TEARDOWN":
             self._actions.append(
                 ev.SendToServer(node, event.conn, rtsp.confirm_release(message), this_connection_only=True)
             )
-            if session is not None and mine:
+            if session is not None and is_current:
                 self._ended_by_server(session, message)
             elif session is None:
                 outcome = _RELEASE_OUTCOMES.get(_cause(message), fl.Outcome.RESET)
-                if outcome is not fl.Outcome.CANCELLED:  # else its viewer is owed nothing
+                if outcome is not fl.Outcome.CANCELLED:  # else the viewer gets no release
                     cause = NORMAL if outcome is fl.Outcome.OK else INTERRUPTED
                     self.session_endings.record_end(self._now, message.session, EndSource.SERVER, node, cause)
-        elif message.method == "ANNOUNCE" and session is not None and mine:
+        elif message.method == "ANNOUNCE" and session is not None and is_current:
             kind, value = _NOTE_KINDS.get(message.headers.get("fail-word", "")), _value(message)
             if kind is fl.NoteKind.RUNG and value is not None and value >= len(self.settings.ladder_kb):
-                return  # no such rung: the note says nothing
+                return  # no such rung: ignore the note
             if kind is not None and value is not None and session.state is _State.PLAYING:
                 self._notify_module(fl.Note(session.number, node, kind, value))
 
@@ -608,7 +617,7 @@
     def _setup_response(
         self, event: ev.ServerMessageReceived, message: rtsp.Response, session: _Session | None
     ) -> None:
-        """Only an answer to the attempt that is out, on the connection it left on, is one."""
+        """Handle a response if it is to the current attempt, on the connection of that attempt."""
         if (
             session is None
             or session.state is not _State.REQUESTED
@@ -641,7 +650,7 @@
         self._attempt(at.Answered(number, attempt, True, fl.Outcome.OK, load=load))
 
     def _reported_load(self, headers: dict[str, str]) -> fl.Load | None:
-        """The columns that the settings name, where their values are finite and not negative."""
+        """Return the columns named in the settings whose values are finite and not negative."""
         text = headers.get("link-state")
         if not text:
             return None
@@ -662,19 +671,19 @@
         for number in sorted(self._in_flight_on.pop((node, conn), ())):
             session = self.sessions.get(number)
             if session is not None:
-                session.server_conn = -1  # it had left, and there is nothing to write to any more
+                session.server_conn = -1  # it was sent, and its connection has closed
                 self._attempt_lost(number, loss)
         self._actions += [
             ev.SendToServer(node, 0, data) for data in self.session_endings.connection_lost(self._now, node)
         ]
 
-    # ---- Box list -----------------------------------------------------------------------------------------
+    # ---- Server list ---------------------------------------------------------------------------------------
     def _list_updated(self, update: ListUpdate) -> None:
         kind = fl.ListKind.FULL if update.full else fl.ListKind.DELTA
         self.list_received |= update.full
         closed: list[tuple[int, bool]] = []
         restarted: list[int] = []
-        taken: list[int] = []
+        displaced: list[int] = []
         infos = [server.info for server in update.servers]
         if update.full:
             named = {server.info.node for server in update.servers}
@@ -684,13 +693,13 @@
             if info.status is fl.Status.GONE:
                 closed.append((info.node, True))
                 continue
-            before = self._servers.get(info.node)  # None: it may have been off the list for a moment only
-            if info.started_ms > (before.started_ms if before is not None else 0.0):
+            previous = self._servers.get(info.node)  # None also if it was unlisted for a moment only
+            if info.started_ms > (previous.started_ms if previous is not None else 0.0):
                 restarted.append(info.node)
             other = self._node_at.get(server.address, info.node)
             if other != info.node:
-                # its address is another's now: what answers there is not what its sessions played on
-                taken.append(other)
+                # the address belongs to another server now, so its former server and sessions are lost
+                displaced.append(other)
                 if other in self._servers:
                     infos.append(replace(self._servers[other], status=fl.Status.GONE))
                     closed.append((other, True))
@@ -702,20 +711,20 @@
                 closed.append((info.node, False))
             else:
                 self._attempt(at.BoxReady(info.node))
-        for node, gone in closed:
-            if gone:
+        for node, is_gone in closed:
+            if is_gone:
                 self._servers.pop(node, None)
                 if node not in self._playing:
                     self._release_address(node)
                 self.session_endings.server_removed(node)
                 self._actions.append(ev.RemoveServer(node))
-        # the module first: what is stopped below may be placed anew at once, and not at a box that drains
+        # the module first: attempts stopped below may be placed again at once, not at a draining server
         self._notify_module(fl.NodeList(kind, tuple(infos)))
-        for node, gone in closed:
-            self._attempt(at.BoxDraining(node, gone))
+        for node, is_gone in closed:
+            self._attempt(at.BoxDraining(node, is_gone))
         for node in restarted:
             self._server_restarted(node)
-        for node in taken:
+        for node in displaced:
             self._release_address(node)
             self.counts["box lost, address taken"] += 1
             self._attempt(at.BoxLost(node))
@@ -725,16 +734,16 @@
                 self._hand_over(conn, start, start.plays_at)
 
     def _release_address(self, node: int) -> None:
-        """The box is not at the address that is known of it any more."""
+        """Remove the address of a server."""
         address = self._addresses.pop(node, None)
         if address is not None and self._node_at.get(address) == node:
             del self._node_at[address]
 
     def _server_restarted(self, node: int) -> None:
-        """What stood there before the box's new start went with the old process."""
+        """End the sessions that played at the server before it restarted."""
         info = self._servers.get(node)
         if info is None:
-            return  # its address is another's by the same event: all that stood there is lost with that
+            return  # the same update gave its address to another server, so all its sessions are lost anyway
         started_ms = info.started_ms
         for session in [self.sessions[number] for number in sorted(self._playing.get(node, ()))]:
             if session.playing_since < started_ms:
@@ -743,7 +752,7 @@
 
 
 def _cause(message: rtsp.Request) -> int:
-    """Of a release; 0 where it names none that makes sense."""
+    """Return the cause of a release; 0 if it has no valid one."""
     cause = message.headers.get("reason", "").removeprefix("cause=")
     return int(cause) if cause.isascii() and cause.isdigit() and len(cause) < 4 else 0
 
--- a/foxlift/platform/discovery.py
+++ b/foxlift/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The watch of server discovery: connects, asks, closes as `feed.Feed` says, and tells the core the list."""
+"""Carries out the actions of `discovery_watch.DiscoveryWatch` and passes list updates to the core."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class DiscoveryOwner(Protocol):
-    """What the watch uses of its director."""
+    """What discovery uses of its director."""
 
     count: Counter[str]
     log: RateLimitedLog
     timeline: Timeline
 
     def notify_core(self, event: ev.Event) -> None:
-        """Have the core handle an event."""
+        """Pass an event to the core."""
 
     def log_task_error(self, task: asyncio.Task[None]) -> None:
-        """RateLimitedLog what a task ended with, where that is an exception."""
+        """Log the exception of a task, if it ended with one."""
 
 
 class Discovery:
-    """One director's watch."""
+    """Discovery of servers by one director."""
 
     def __init__(self, director: DiscoveryOwner, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self._director, self._config, self._loop = director, config, loop
@@ -40,7 +40,7 @@
 
     @property
     def count(self) -> Counter[str]:
-        """The director's counts of events."""
+        """The director's number of occurrences by kind."""
         return self._director.count
 
     @property
@@ -49,19 +49,19 @@
         return self._director.log
 
     def start(self) -> None:
-        """Hear of the list."""
+        """Start to watch the list."""
         self._carry_out(self.watch.start())
 
     def close(self) -> None:
-        """Close the connection, or give up making it."""
+        """Close the connection, or stop connecting."""
         self._close_connection()
 
     def handle(self, event: discovery_watch.Event) -> None:
-        """Tell the feed, and do what it wants."""
+        """Pass an event to the watch and carry out its actions."""
         self._carry_out(self.watch.handle(self._director.timeline.now(), event))
 
     def resynchronize(self) -> None:
-        """What the coordinator sent cannot be read."""
+        """Reconnect after invalid data from the coordinator."""
         self._carry_out(self.watch.resynchronize())
 
     def _carry_out(self, actions: list[discovery_watch.Action]) -> None:
--- a/foxlift/platform/discovery_connection.py
+++ b/foxlift/platform/discovery_connection.py
@@ -1,4 +1,4 @@
-"""The connection to server discovery: bytes in, frames of `feed` out."""
+"""The connection to the coordinator: parses received bytes into frames of `discovery_watch`."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class DiscoveryConnectionOwner(Protocol):
-    """What a connection uses of its watch. `connection`: the one that counts."""
+    """What a connection uses of discovery. `connection`: the current one; others are ignored."""
 
     connection: DiscoveryConnection | None
 
     @property
     def count(self) -> Counter[str]:
-        """Counts of events."""
+        """Number of occurrences by kind."""
 
     @property
     def log(self) -> RateLimitedLog:
         """The log."""
 
     def handle(self, event: discovery_watch.Event) -> None:
-        """Have the feed handle an event."""
+        """Pass an event to the watch."""
 
     def resynchronize(self) -> None:
-        """What was sent cannot be read."""
+        """Reconnect after invalid data."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """The connection to the coordinator."""
+    """One connection to the coordinator."""
 
     def __init__(self, owner: DiscoveryConnectionOwner, reader: discovery_watch.FrameReader) -> None:
         self._owner, self._reader = owner, reader
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Handle the opened connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the feed."""
+        """Handle bytes from the coordinator."""
         if self._owner.connection is not self:
             return
         try:
@@ -56,7 +56,7 @@
             self._owner.handle(discovery_watch.FramesReceived(tuple(frames)))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is over."""
+        """Handle the closed connection."""
         self.transport = None
         if self._owner.connection is self:
             self._owner.connection = None
--- a/foxlift/platform/events.py
+++ b/foxlift/platform/events.py
@@ -1,4 +1,4 @@
-"""What the platform's core is told and what it wants done; `foxlift/platform/core.py` says when."""
+"""Events and actions of the platform director's core (`foxlift/platform/core.py`)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class ViewerMessageReceived:
-    """A viewer's message. `waited_ms`: how long it may have lain unread while this process stood still."""
+    """A viewer sent a message. `waited_ms`: how long it may have been unread because the process was busy."""
 
     conn: int
     message: viewers.Event
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewerDisconnected:
-    """A viewer's connection is over."""
+    """A viewer's connection has closed."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerMessageReceived:
-    """A box's message on one of its connections."""
+    """A server sent a message on one of its connections."""
 
     node: int
     conn: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerConnectionLost:
-    """A connection to a box is over, or `spoilt`: what came on it cannot be read."""
+    """A connection to a server has closed. `corrupt`: because what it received is invalid."""
 
     node: int
     conn: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupNotSent:
-    """No connection to that box for a set-up: nothing of it has left."""
+    """There is no connection to the server for a set-up: nothing of it was sent."""
 
     session: int
     node: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLost:
-    """What played at a box is over."""
+    """A server was lost, and with it the sessions that played there."""
 
     node: int
     reason: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimedOut:
-    """The time of an attempt is up."""
+    """The time limit of an attempt has passed."""
 
     session: int
     attempt: int
@@ -70,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverTimedOut:
-    """A session was handed over whose box the list still does not name."""
+    """The list still does not name the server of a session that was handed over."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownImminent:
-    """The process ends soon: every request that is still open gets its answer now."""
+    """The process exits soon: every open request must be answered now."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdated:
-    """An event of the coordinator, also out of the configuration: it holds what was told until the start."""
+    """An update of the server list, by the coordinator or, for those before the start, the configuration."""
 
     update: ListUpdate
 
@@ -105,7 +105,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class SendToViewer:
-    """Write to a viewer's connection; nothing, where that is closed."""
+    """Write to a viewer's connection; ignored if it is closed."""
 
     conn: int
     data: bytes
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeViewerSessions:
-    """So many more sessions belong to a viewer's connection."""
+    """Add `change` to the number of sessions of a viewer's connection."""
 
     conn: int
     change: int
@@ -121,14 +121,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordProtocolError:
-    """What came on a viewer's connection made no sense."""
+    """Count an invalid message on a viewer's connection."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class QueueSetup:
-    """Send a set-up to a box when there is a connection: its bytes are then asked for by `Core.take`."""
+    """Send a set-up to a server once there is a connection, with the bytes from `Core.take_setup`."""
 
     session: int
     node: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelSetup:
-    """A set-up that has not left is not wanted any more."""
+    """Drop a set-up that was not sent."""
 
     session: int
     node: int
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToServer:
-    """Write to a box, on this connection if it is up, else on any. `only`: not on any other."""
+    """Write to a server, on this connection if it is up, else on any unless `this_connection_only`."""
 
     node: int
     conn: int
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupFinished:
-    """A set-up that had left on the connection has its end."""
+    """A set-up that was sent on the connection is answered or has failed."""
 
     node: int
     conn: int
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddServer:
-    """A box is on the list, at this address."""
+    """The list names a server, at this address."""
 
     node: int
     address: Address
@@ -170,14 +170,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveServer:
-    """A box is off the list."""
+    """The list no longer names a server."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetSessionCount:
-    """So many sessions play at a box now."""
+    """Set the number of sessions that play at a server."""
 
     node: int
     count: int
@@ -185,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Send the event after so many milliseconds."""
+    """Send the event after `delay_ms`."""
 
     delay_ms: float
     event: AttemptTimedOut | HandoverTimedOut | fl.Wake
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the log."""
+    """Write a line to the log."""
 
     log_event: str
     detail: str = ""
--- a/foxlift/platform/server_connection.py
+++ b/foxlift/platform/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a media server: bytes in, messages of `rtsp` out, and how it is closed."""
+"""One connection to a media server: parses received bytes into `rtsp` messages, writes, and closes."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class ServerConnectionOwner(Protocol):
-    """What a connection uses of all of them."""
+    """What a connection uses of the set of all server connections."""
 
     @property
     def count(self) -> Counter[str]:
-        """Counts of events."""
+        """Number of occurrences by kind."""
 
     @property
     def log(self) -> RateLimitedLog:
         """The log."""
 
     def notify_core(self, event: ev.Event) -> None:
-        """Have the core handle an event."""
+        """Pass an event to the core."""
 
     def handle(self, node: int, event: server_pool.Event) -> None:
-        """Have the connections of a server handle an event."""
+        """Pass an event to the pool of a server."""
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """A connection is made, which may have been given up meanwhile."""
+        """A connection has opened, possibly after its opening was cancelled."""
 
     def connection_dropped(self, connection: ServerConnection, corrupt: bool) -> None:
-        """A connection is over, or of no further use."""
+        """A connection has closed or is `corrupt`: it received invalid data."""
 
 
 class ServerConnection(asyncio.Protocol):
@@ -46,14 +46,14 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Handle the opened connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
-        # at once: bytes may come, and its end, before the task that connects hears of it
+        # at once: bytes and the close may arrive before the connecting task runs again
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes from the server."""
+        """Handle bytes from the server."""
         if self.transport is None or self.transport.is_closing():
             return
         try:
@@ -71,13 +71,13 @@
             self._owner.notify_core(ev.ServerMessageReceived(self.node, self.number, message))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is over."""
+        """Handle the closed connection."""
         self.transport = None
         if not self._corrupt:
             self._owner.connection_dropped(self, corrupt=False)
 
     def send(self, data: bytes) -> bool:
-        """Write; False where the connection is over."""
+        """Write `data`. Return False if the connection is closed, retired, or aborted for unsent bytes."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.retired:
             return False
@@ -88,7 +88,7 @@
         return True
 
     def retire(self) -> None:
-        """Write nothing more; what the server has still to say is read until it closes."""
+        """Write nothing more, but read until the server closes."""
         if self.transport is not None and not self.transport.is_closing():
             self.retired = True
             self.transport.write_eof()
--- a/foxlift/platform/server_connections.py
+++ b/foxlift/platform/server_connections.py
@@ -1,7 +1,7 @@
-"""Connections to all media servers: opened, shut and written to as each one's `ServerPool` says.
+"""Connections to all media servers: opens, closes and writes to them as each server's `ServerPool` decides.
 
-A server that does not read is dropped at `MAX_UNSENT_BYTES`. Messages kept for one without a connection are
-bounded by `MAX_UNSENT_MESSAGES`; connections by the shares of `descriptors`.
+A connection is aborted at `MAX_UNSENT_BYTES` unsent bytes. Messages kept for a server without a connection
+are limited by `MAX_UNSENT_MESSAGES`, the number of connections by the shares of `descriptors`.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from foxlift.platform.settings import Address, Config
 from foxlift.platform.setups import ClientSocket, PendingSetup, SetupQueue
 
-RETIRED_READ_MS = 2000.0  # how long a retired connection to a connection is still read
-MAX_UNSENT_MESSAGES = 4096  # messages kept for a server that no connection is up to
+RETIRED_READ_MS = 2000.0  # how long a retired connection is still read
+MAX_UNSENT_MESSAGES = 4096  # per server without an open connection
 
 
 class SetupSource(Protocol):
-    """What the connections ask the core."""
+    """What the connections use of the core."""
 
     def is_waiting(self, number: int, node: int) -> bool:
-        """Whether an attempt of the request at that very server has still to leave."""
+        """Return whether an attempt of the request at this server is not sent yet."""
 
     def take_setup(self, now: float, number: int, node: int, conn: int) -> bytes | None:
-        """The set-up's bytes, or None where it is not to leave any more."""
+        """Record a set-up as sent and return its bytes, or None if it must not be sent any more."""
 
 
 class ServerConnectionsOwner(Protocol):
@@ -42,26 +42,26 @@
 
     @property
     def core(self) -> SetupSource:
-        """The director without I/O."""
+        """The core of the director."""
 
     @property
     def client_connections(self) -> int:
-        """How many connections from clients are open."""
+        """Number of open connections from clients."""
 
     def notify_core(self, event: ev.Event) -> None:
-        """Have the core handle an event."""
+        """Pass an event to the core."""
 
     def client_socket(self, request: int) -> ClientSocket:
-        """What the socket of a request's client holds that was not read yet."""
+        """Return what is unread on the socket of a request's client."""
 
     def note_reset_client(self, request: int) -> None:
-        """Have the core know where the request's client has reset its connection."""
+        """Notify the core if the request's client has reset its connection."""
 
     def client_share_changed(self, max_connections: int) -> None:
-        """So many connections from clients may be open from now on."""
+        """Set the maximum number of connections from clients."""
 
     def log_task_error(self, task: asyncio.Task[None]) -> None:
-        """RateLimitedLog what a task ended with, where that is an exception."""
+        """Log the exception of a task, if it ended with one."""
 
 
 class ServerConnections:
@@ -82,7 +82,7 @@
     # ---- For `ServerConnection` ---------------------------------------------------------------------------
     @property
     def count(self) -> Counter[str]:
-        """The director's counts of events."""
+        """The director's number of occurrences by kind."""
         return self._director.count
 
     @property
@@ -91,12 +91,12 @@
         return self._director.log
 
     def notify_core(self, event: ev.Event) -> None:
-        """Have the core handle an event."""
+        """Pass an event to the core."""
         self._director.notify_core(event)
 
     # ---- Servers ------------------------------------------------------------------------------------------
     def server_listed(self, node: int, address: Address) -> None:
-        """The list names a server, maybe again."""
+        """The list names a server, possibly again."""
         moved = self.addresses.get(node, address) != address
         self.addresses[node] = address
         if node in self.pools:
@@ -109,14 +109,14 @@
         self._update_shares()
 
     def queue_setup(self, request: int, node: int) -> None:
-        """A set-up is to leave."""
+        """Queue a set-up for a server."""
         if node not in self.pools:
             self._director.notify_core(ev.SetupNotSent(request, node))
         else:
             self.handle(node, server_pool.SetupQueued(request))
 
     def tick(self) -> None:
-        """Time has passed."""
+        """Run the periodic checks of all pools."""
         for node in list(self.pools):
             self.handle(node, server_pool.Tick())
             pool = self.pools.get(node)
@@ -124,7 +124,7 @@
                 self._drop_pool(node)
 
     def unsent_size(self) -> int:
-        """Bytes that the machine has not taken, and messages that wait for a connection."""
+        """Return the number of bytes the kernel has not accepted plus messages that wait for a connection."""
         written = sum(
             connection.transport.get_write_buffer_size()
             for connection in self.connections.values()
@@ -133,14 +133,14 @@
         return written + sum(len(waiting) for waiting in self.unsent.values())
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Abort all connections."""
         for task in self.opening.values():
             task.cancel()
         for connection in list(self.connections.values()):
             connection.close()
 
     def handle(self, node: int, event: server_pool.Event) -> None:
-        """Have the connections of one server handle an event, and carry out what they want."""
+        """Pass an event to the pool of a server and carry out its actions."""
         pool = self.pools.get(node)
         if pool is None:
             return
@@ -192,9 +192,9 @@
         self._director.timeline.later(within_ms, lambda: self.handle(node, server_pool.Tick()))
 
     def _reserve_descriptor(self, for_listening: bool) -> bool:
-        """Whether one more connection to a server may be opened, if need be after another is closed.
+        """Return whether one more connection to a server may be opened, closing another if necessary.
 
-        `to_listen`: no set-up waits for it, it is to be heard of sessions on it.
+        `for_listening`: no set-up waits for it; it is needed to receive messages about sessions.
         """
         # clients that connected while their share was larger may not be closed yet
         taken_by_clients = max(self._director.client_connections - self._shares.clients, 0)
@@ -224,7 +224,7 @@
             return
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """A connection to a server is made, which may have been given up meanwhile."""
+        """A connection to a server has opened, possibly after its opening was cancelled."""
         if self.opening.pop((connection.node, connection.number), None) is None:
             connection.close()
             return
@@ -241,16 +241,16 @@
         connection = self.connections.get((node, conn))
         if connection is None or connection.transport is None or connection.transport.is_closing():
             if connection is not None:
-                # known to be closed: no other set-up may be assigned to it
+                # known to be closed: prevents that other set-ups are assigned to it
                 self.connection_dropped(connection, corrupt=False)
             if node not in self.pools:
                 self._director.notify_core(ev.SetupNotSent(key, node))
             elif self._director.core.is_waiting(key, node):
-                # nothing of it has left, and another connection may be had
+                # nothing was sent, and another connection may be available
                 self.handle(node, server_pool.SetupQueued(key))
             return
         if connection.transport.get_write_buffer_size():
-            # the machine takes nothing: what waits here leaves as the server reads, long after its client did
+            # the kernel accepts nothing: a set-up buffered here might be sent long after its client has left
             self.handle(node, server_pool.SlotReleased(conn))
             self._director.notify_core(ev.SetupNotSent(key, node))
             return
@@ -262,7 +262,7 @@
             connection.send(data)
 
     def send(self, node: int, conn: int, data: bytes, this_connection_only: bool) -> None:
-        """Write to a server on this connection if it is up, else on any; `only`: not on any other."""
+        """Write to a server on this connection if it is up, else on any unless `this_connection_only`."""
         connection = self.connections.get((node, conn))
         if (connection is not None and connection.send(data)) or this_connection_only:
             return
@@ -281,12 +281,12 @@
         self.handle(node, server_pool.ConnectRequested())
 
     def connection_dropped(self, connection: ServerConnection, corrupt: bool) -> None:
-        """A connection to a server is over, or of no further use."""
+        """A connection to a server has closed or is `corrupt`: it received invalid data."""
         if self.connections.get((connection.node, connection.number)) is not connection:
             return
         del self.connections[connection.node, connection.number]
         self._director.count["box connections spoilt" if corrupt else "box connections closed"] += 1
-        # the core first: what was out there may go elsewhere at once
+        # the core first: it may place the failed set-ups elsewhere at once
         self._director.notify_core(ev.ServerConnectionLost(connection.node, connection.number, corrupt))
         self.handle(connection.node, server_pool.ConnectionLost(connection.number))
 
@@ -300,7 +300,7 @@
             self._director.notify_core(ev.ServerConnectionLost(node, conn))
 
     def _update_shares(self) -> None:
-        """Servers have come or gone: each server's part of the descriptors."""
+        """Recompute the shares of the descriptors after the number of servers has changed."""
         self._shares = descriptors.share_out(self._config.sockets, len(self.pools))
         self._director.client_share_changed(self._shares.clients)
         max_per_server = descriptors.max_connections_per_server(self._config.sockets, len(self.pools))
--- a/foxlift/platform/server_pool.py
+++ b/foxlift/platform/server_pool.py
@@ -1,23 +1,25 @@
-"""The connections to one media server: which carries a set-up, and what silence or a refusal proves. No I/O.
-
-    connection  event                       next     what is done
-    (none)      SetupQueued, none idle      OPENING  open one, the set-up waits for it
-    OPENING     ConnectionOpened            UP       the longest waiting set-up leaves on it
-    OPENING     not up in time, lost        (none)   one waiting set-up has failed to connect
-    UP          SetupQueued, nothing out    UP       the set-up leaves on it
-    UP          quiet with work out         UP       ping
-    UP          ping not answered           (none)   shut: what is out on it is lost
-    UP          ConnectionLost              (none)   open another if sessions play there
-    UP          idle for long               (none)   retire, before the server does as a set-up is written
-    any         ConnectRequested, none up   OPENING  open one, again until one is up: a release must leave
-    OPENING     ServerRemoved               (none)   shut: what answers there may be another server by now
-
-One set-up at a time leaves on a connection while there is room for more connections: an answer that cannot
-be read spoils all that is out on its connection, and so costs one session only.
-
-Sessions that play there belong to no connection. They are lost when the server refuses a connection while
-none is up (its process is gone), when the list says that the server is gone and its last connection breaks,
-or when nothing was heard for `LOST_MS` whatever was tried.
+"""The connections to one media server: which carries a set-up, and when the server counts as lost. No I/O.
+
+    connection  event                           next     action
+    (none)      SetupQueued, none idle          OPENING  open one, the set-up waits for it
+    OPENING     ConnectionOpened                UP       the set-up that waited longest is sent on it
+    OPENING     not up in time, lost            (none)   one waiting set-up has failed to connect
+    UP          SetupQueued, none unanswered    UP       the set-up is sent on it
+    UP          quiet while needed              UP       ping
+    UP          ping not answered               (none)   close: set-ups unanswered on it have failed
+    UP          ConnectionLost                  (none)   open another if sessions play there
+    UP          idle for long                   (none)   retire, before the server closes it during a set-up
+    any         ConnectRequested, none open     OPENING  open one, repeat until one is up
+    OPENING     ServerRemoved                   (none)   close: another server may answer there
+
+The event ConnectRequested means that a message other than a set-up, such as a release, must be sent.
+
+While more connections may be opened, each carries one set-up at a time: an invalid answer makes all
+unanswered set-ups on its connection fail, and so affects one session only.
+
+Sessions that play at the server are not bound to a connection. They are lost when the server refuses a
+connection while none is up (its process is gone), when the list has removed the server and its last
+connection closes, or when nothing was received for `SILENCE_TIMEOUT_MS`.
 """
 
 from __future__ import annotations
@@ -25,49 +27,50 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-PING_IDLE_MS = 900.0  # quiet for so long with something out or playing: test the connection
-PING_TIMEOUT_MS = 900.0  # a test is passed at once by a server that lives, however slow its set-ups are
-SILENCE_TIMEOUT_MS = (
-    5000.0  # silence after which what played there is over; viewers are owed word within 8 s of an end
+PING_IDLE_MS = 900.0  # silence after which a connection with unanswered set-ups or sessions is pinged
+PING_TIMEOUT_MS = 900.0  # a running server answers a ping at once, however slow its set-ups are
+# sessions are lost after this silence; viewers must be notified within 8 s of an end
+SILENCE_TIMEOUT_MS = 5000.0
+SILENT = "silent"  # reason of the loss of a server whose state is unknown
+LATE_OPEN_MARGIN_MS = (
+    200.0  # two ticks; a connection opened this shortly before SILENCE_TIMEOUT_MS is too late
 )
-SILENT = "silent"  # why a server is lost of which nothing is known
-LATE_OPEN_MARGIN_MS = 200.0  # two looks: a connection that comes up so shortly before that is too late
-REOPEN_INTERVAL_MS = 250.0  # between tries to reach a silent server that sessions play on
-MAX_REOPEN_INTERVAL_MS = 4000.0  # the same for what only waits to be sent
-DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # for a connection to come up, where the settings name no time
-MAX_IDLE_RATIO = 0.6  # of the server's own idle time: after that this side closes first
+REOPEN_INTERVAL_MS = 250.0  # between attempts to reach a silent server on which sessions play
+MAX_REOPEN_INTERVAL_MS = 4000.0  # upper bound if only messages wait to be sent
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # used if the settings name none
+MAX_IDLE_RATIO = 0.6  # of the server's idle timeout; after that this side closes first
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class SetupQueued:
-    """A set-up is to leave."""
+    """A set-up is ready to be sent."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetupCancelled:
-    """A set-up that has not left is no longer wanted."""
+    """A set-up that was not sent is cancelled."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectRequested:
-    """Something that belongs to no set-up is to be sent: a connection is wanted until one is up."""
+    """A message other than a set-up waits to be sent: keep connecting until a connection is up."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOpened:
-    """A connection is made."""
+    """A connection has opened."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """A connection is over or could not be made."""
+    """A connection has closed or could not be opened."""
 
     conn: int
     refused: bool = False
@@ -75,40 +78,40 @@
 
 @dataclass(frozen=True, slots=True)
 class DataReceived:
-    """Something came that could be read."""
+    """A valid message was received."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class SlotReleased:
-    """A set-up that had left on the connection has its end."""
+    """A set-up that was sent on the connection is answered or has failed."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class SessionsChanged:
-    """So many sessions play there now."""
+    """The number of sessions that play at the server has changed."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRemoved:
-    """The list says that the server is no more."""
+    """The list no longer names the server."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionYielded:
-    """The connection's descriptor is wanted for another server; no set-up is out on it."""
+    """The connection's descriptor is needed for another server; it has no unanswered set-up."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListed:
-    """The list names the server, maybe again; `moved`: at another address than before."""
+    """The list names the server, possibly again. `moved`: at another address than before."""
 
     moved: bool
 
@@ -137,7 +140,7 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Make a connection; send Tick when the wait for it is over."""
+    """Open a connection; send Tick after `within_ms`."""
 
     conn: int
     within_ms: float
@@ -153,14 +156,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupUnreachable:
-    """No connection for the set-up: nothing of it has left."""
+    """There is no connection for the set-up: nothing of it was sent."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class PingConnection:
-    """Test the connection."""
+    """Send a ping on the connection."""
 
     conn: int
 
@@ -174,21 +177,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireConnection:
-    """Write nothing more and close when the server has: a release may be on its way."""
+    """Write nothing more and close after the server: a release may still arrive."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class SessionsLost:
-    """Every session that played there is over."""
+    """The sessions that played at the server are lost."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class DiscardUnsent:
-    """What was to be sent there concerns nothing any more: the process that it was for is gone."""
+    """Drop the messages kept for the server: the process they are for no longer exists."""
 
 
 Action = (
@@ -210,30 +213,30 @@
     in_flight: int = 0
     last_received_at: float = 0.0
     last_used_at: float = 0.0
-    pinged_at: float = 0.0  # 0: no test is out
-    outdated: bool = False  # to an address that the server has left: nothing new goes there
+    pinged_at: float = 0.0  # 0: no unanswered ping
+    outdated: bool = False  # to a former address of the server: no new set-ups are sent on it
 
 
 @dataclass(slots=True)
 class ServerPool:
-    """The connections to one server, as far as connections go."""
+    """The state of all connections to one server."""
 
     connect_ms: float
     idle_ms: float
-    max_connections: int  # connections at once
-    max_streams: int  # set-ups at once that one connection takes, by the settings
+    max_connections: int  # open at the same time
+    max_streams: int  # concurrent set-ups on one connection, by the settings
     sessions: int = 0
     is_removed: bool = False
     connections: dict[int, _Connection] = field(default_factory=dict)
-    waiting: deque[tuple[int, float]] = field(default_factory=deque)  # set-up, since when
+    waiting: deque[tuple[int, float]] = field(default_factory=deque)  # set-up, time it was queued
     last_received_at: float = 0.0
     last_open_at: float = 0.0
-    connect_requested: bool = False  # something waits for any connection
-    open_attempts: int = 0  # of a connection for what it owes, in a row
+    connect_requested: bool = False  # a message other than a set-up waits for a connection
+    open_attempts: int = 0  # consecutive attempts to open a connection
     _last_conn: int = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms."""
+        """Handle one event and return the actions; `now` in ms."""
         match event:
             case DataReceived(conn):
                 return self._data_received(now, conn)
@@ -264,18 +267,18 @@
 
     @property
     def latest_up(self) -> int | None:
-        """The connection last heard of."""
+        """The open connection on which a message was received last."""
         ups = [(c.last_received_at, name) for name, c in self.connections.items() if c.up]
         return max(ups)[1] if ups else None
 
     @property
     def in_flight(self) -> int:
-        """Set-ups that have left and have no end yet."""
+        """Number of set-ups sent and not answered."""
         return sum(conn.in_flight for conn in self.connections.values())
 
     @property
     def unused(self) -> bool:
-        """Nothing is out, plays or waits there."""
+        """Whether the server has no sessions and no waiting or unanswered set-ups."""
         return not (self.sessions or self.waiting or self.in_flight)
 
     def _open(self, now: float) -> OpenConnection:
@@ -287,7 +290,7 @@
     def _queue_setup(self, now: float, key: int) -> list[Action]:
         best: int | None = None
         for name, conn in self.connections.items():
-            # one that is being tested may be dead; one long idle may be closed by the server at this moment
+            # one with an unanswered ping may be dead; the server may be closing one that is long idle
             if (
                 conn.up
                 and not conn.in_flight
@@ -329,7 +332,7 @@
         self.connect_requested = False
         lost: list[Action] = []
         if self.sessions and now - self.last_received_at >= SILENCE_TIMEOUT_MS - LATE_OPEN_MARGIN_MS:
-            # a zone that was lost is back: to hear the new process is not to hear of the sessions of the old
+            # a lost zone is back: the process that answers may be a new one, without the sessions of the old
             self.last_received_at = now
             lost.append(SessionsLost(SILENT))
         if self.waiting:
@@ -348,7 +351,7 @@
         conn.last_received_at, ping_sent_at, conn.pinged_at = now, conn.pinged_at, 0.0
         if not (ping_sent_at and self.waiting and conn.up) or conn.outdated:
             return []
-        # what came while it was tested waits for it, where there was no room for another connection
+        # set-ups queued since the ping wait for this connection if no other could be opened
         opening = sum(1 for c in self.connections.values() if not c.up)
         room = min(len(self.waiting) - opening, self.max_streams - conn.in_flight)
         return [self._assign(now, name, self.waiting.popleft()[0]) for _ in range(room)]
@@ -420,20 +423,22 @@
     def _yielded(self, now: float, name: int) -> list[Action]:
         if self.connections.pop(name, None) is None:
             return []
-        self.last_open_at = now  # not opened again at once: the place is another server's for now
+        self.last_open_at = now  # not opened again at once: another server uses the descriptor for now
         return [CloseConnection(name)]
 
     def _sessions_changed(self, now: float, count: int) -> list[Action]:
         first = count and not self.sessions
         self.sessions = count
         if first:
-            # silence counts from here: nothing was listened for before
+            # the silence starts now: no message was expected before
             self.last_received_at = now
         return [self._open(now)] if first and not self.connections else []
 
     def _tick(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        listened = self.latest_up if self.sessions else None  # one is enough to hear of sessions
+        listened = (
+            self.latest_up if self.sessions else None
+        )  # one connection is enough to receive messages about sessions
         for name, conn in list(self.connections.items()):
             if not conn.up:
                 if now - conn.opened_at >= self.connect_ms:
@@ -453,7 +458,7 @@
                 del self.connections[name]
                 actions.append(RetireConnection(name))
         wait = REOPEN_INTERVAL_MS
-        if self.waiting and not self.connections:  # the last one went for its age or its address
+        if self.waiting and not self.connections:  # the last one was retired for its age or address
             return [*actions, self._open(now)]
         if self.sessions:
             if now - self.last_received_at >= SILENCE_TIMEOUT_MS:
@@ -461,7 +466,7 @@
                 return [*actions, SessionsLost(SILENT)]
             if self.is_removed and not self.connections:
                 return [*actions, SessionsLost("gone")]
-        elif self.connect_requested:  # nobody waits for it here: less and less often
+        elif self.connect_requested:  # no session depends on it: back off
             wait = min(REOPEN_INTERVAL_MS * 2**self.open_attempts, MAX_REOPEN_INTERVAL_MS)
         if (
             (self.sessions or self.connect_requested)
--- a/foxlift/platform/transport.py
+++ b/foxlift/platform/transport.py
@@ -1,7 +1,7 @@
-"""Sockets, timers and signals of a platform director. Wiring only: what is decided, others decide.
+"""Sockets, timers and signals of a platform director. It wires up other modules, which make all decisions.
 
-Bounds: what is unsent, in the modules of the connections; a line or message by its codec; connections by
-`admission` and `descriptors`.
+Limits: unsent bytes are limited in the modules of the connections, lines and messages by their codecs, the
+number of connections by `admission` and `descriptors`.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from foxlift.platform.setups import ClientSocket
 from foxlift.platform.stop import GracefulStop, PendingWork, State, Step
 
-TICK_MS = 100.0  # how often connections are looked over
-STALL_MS = 20.0  # a loop that stood still for longer looks at its sockets before its timers
-SUMMARY_MS = 15000.0  # between two lines on what happened so far
+TICK_INTERVAL_MS = 100.0  # interval of the periodic checks of all connections
+STALL_MS = 20.0  # after a longer stall, the loop reads its sockets before it runs timers
+SUMMARY_INTERVAL_MS = 15000.0  # between two summary lines in the log
 
 
 class PlatformDirector:
-    """Everything of one director that touches the outside."""
+    """One director with its sockets, timers and signals."""
 
     def __init__(self, config: Config, config_path: str, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self._config_path, self._loop = config, config_path, loop
@@ -48,26 +48,26 @@
         self.discovery = Discovery(self, config, loop)
         self._clients: dict[int, ClientConnection] = {}
         self._last_client = 0
-        self.write_blocked: set[ClientConnection] = set()  # that do not read what is written to them
+        self.write_blocked: set[ClientConnection] = set()  # clients whose write buffer is full
         self.closing = ClosingConnections()
         self._server: asyncio.Server | None = None
         self._stop = GracefulStop(klass.deadline_ms for klass in config.module.classes)
-        self._received = 0  # connections from viewers and reads on them
-        self._summary_at = self.timeline.now() + SUMMARY_MS
+        self._received = 0  # number of client connections accepted and of reads on them
+        self._summary_at = self.timeline.now() + SUMMARY_INTERVAL_MS
 
-    # ---- Life ---------------------------------------------------------------------------------------------
+    # ---- Life cycle ---------------------------------------------------------------------------------------
     async def start(self) -> None:
-        """Listen, and hear the coordinator. Raises OSError where the address cannot be had."""
+        """Listen and connect to the coordinator. Raises OSError if the address cannot be bound."""
         for update in self.config.known:
             self.notify_core(ev.ListUpdated(update))
         self._server = await self._loop.create_server(
             lambda: ClientConnection(self), self.config.listen.host, self.config.listen.port, backlog=1024
         )
         self.discovery.start()
-        self.timeline.later(TICK_MS, self._tick)
+        self.timeline.later(TICK_INTERVAL_MS, self._tick)
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Abort all connections."""
         self.timeline.close()
         if self._server is not None:
             self._server.close()
@@ -78,7 +78,7 @@
         await asyncio.sleep(0)
 
     def reload(self) -> None:
-        """SIGHUP: the coordinator may have another address; a file that cannot be read changes nothing."""
+        """Handle SIGHUP: apply the coordinator's address; an invalid file changes nothing."""
         try:
             with open(self._config_path, "rb") as file:
                 config = read(file.read())
@@ -89,12 +89,12 @@
         self.discovery.handle(discovery_watch.AddressChanged(config.coordinator))
 
     def stop(self) -> None:
-        """SIGTERM: go on until nothing is owed and nothing more can come."""
+        """Handle SIGTERM: serve until nothing is pending and nothing more can arrive."""
         if self._stop.begin(self.timeline.now()):
             self.log.write("stopping", f"{self.core.unanswered} set-ups unanswered")
 
     def _check_stop(self) -> None:
-        """A stopping director's look at what it owes."""
+        """Check whether a stopping director may exit."""
         match self._stop.check(self.timeline.now(), self._pending_work()):
             case Step.ANSWER:
                 self.notify_core(ev.ShutdownImminent())
@@ -117,27 +117,29 @@
         return PendingWork(self.core.unanswered, written + self.servers.unsent_size(), self._received)
 
     def lag(self) -> float:
-        """How long what is read now may have lain unread, ms."""
+        """Return how long bytes read now may have been unread, ms."""
         return self._lag.work_begins(self._loop.time() * 1000)
 
     def _tick(self) -> None:
-        self.timeline.later(TICK_MS, self._tick)  # first: a fault below must not be the last look
-        # a director that serves owes no look, and what is unsent is summed over all connections; one that
-        # is LOOKING looks again by itself
+        self.timeline.later(
+            TICK_INTERVAL_MS, self._tick
+        )  # first, so that an exception below does not end the ticks
+        # not while serving, since a check sums the unsent bytes of all connections; in CHECKING, the check
+        # schedules itself
         if self._stop.state not in (State.SERVING, State.CHECKING):
             self._check_stop()
         self.after_reading(self._close_overdue)
         now = self.timeline.now()
         self.servers.tick()
         if now >= self._summary_at:
-            self._summary_at = now + SUMMARY_MS
+            self._summary_at = now + SUMMARY_INTERVAL_MS
             self.log.write("so far", self.summary_line())
 
     def _stalled(self, late_ms: float) -> None:
         self.count["stalls"] += 1
 
     def summary_line(self) -> str:
-        """What happened how often, and how much is held."""
+        """Return the counts of what happened, the table sizes and the open sockets."""
         counts = self.core.counts + self.count
         counts.update(
             {"feed gaps": self.discovery.watch.gaps, "feed connections": self.discovery.watch.reconnects}
@@ -153,7 +155,7 @@
         return f"{counted}; tables: {sizes}; sockets: {sockets}; feed at {self.discovery.watch.number}"
 
     def servers_line(self) -> str:
-        """For each box: sessions and set-ups that are believed there, and set-ups out on its connections."""
+        """Return for each server its sessions and set-ups in the core and its connections in the pool."""
         usage = self.core.server_usage()
         in_use = {node: (len(pool.connections), pool.in_flight) for node, pool in self.servers.pools.items()}
         return ", ".join(
@@ -163,7 +165,7 @@
         )
 
     def handle_exception(self, context: dict[str, object]) -> None:
-        """An exception that nobody caught ends in a line, and where it belongs to a connection, closes it."""
+        """Log an uncaught exception; if it belongs to a connection, abort that."""
         self.count["exceptions"] += 1
         error = context.get("exception")
         where = ""
@@ -175,17 +177,17 @@
             where = f"{type(error).__name__}: {error} at {at}"
         self.log.write("exception", f"{context.get('message')} {where}")
         transport = context.get("transport")
-        if transport is not None:  # uvloop's are no asyncio.Transport by class
+        if transport is not None:  # uvloop's transports are not subclasses of asyncio.Transport
             cast(asyncio.Transport, transport).abort()
 
     def log_task_error(self, task: asyncio.Task[None]) -> None:
-        """RateLimitedLog what a task ended with, where that is an exception."""
+        """Log the exception of a task, if it ended with one."""
         if not task.cancelled() and (error := task.exception()) is not None:
             self.handle_exception({"message": "connecting", "exception": error})
 
     # ---- The core -----------------------------------------------------------------------------------------
     def notify_core(self, event: ev.Event) -> None:
-        """Tell the core, and do what it wants."""
+        """Pass an event to the core and carry out its actions."""
         self.lag()
         for action in self.core.handle(self.timeline.now(), event):
             self._carry_out(action)
@@ -226,17 +228,17 @@
                 self.log.write(log_event, detail)
 
     def after_reading(self, callback: Callable[[], None]) -> None:
-        """Call back when all is read that had come by now.
+        """Call `callback` once everything that has arrived by now is read.
 
-        The loop reads its sockets between a call and the call that it asks for, so the second call is behind
-        a whole look. Timers need it too: they run before the sockets of their turn are read, and an answer
-        that came in time must not lose to a time-out that came due while something else was done.
+        The loop reads its sockets between a callback and a callback scheduled by it, so the second one runs
+        after a complete pass over the sockets. Timers need this too: they run before the sockets of their
+        iteration are read, and an answer that arrived in time must win over a timer that expired meanwhile.
         """
         self._loop.call_soon(self._loop.call_soon, callback)
 
     # ---- Viewers ------------------------------------------------------------------------------------------
     def client_opened(self, viewer: ClientConnection) -> int:
-        """A connection came; its number."""
+        """Register an accepted connection and return its number."""
         self._received += 1
         self._last_client += 1
         self._clients[self._last_client] = viewer
@@ -244,18 +246,18 @@
         if evicted is not None:
             self._close_client(evicted)
         elif len(self.admission.connections) == self.admission.max_connections + 1:
-            # only then: a request that came before this moment keeps its connection
+            # after reading, so that a connection with a request that has already arrived is kept
             self.after_reading(self._make_room)
         return self._last_client
 
     def _close_overdue(self) -> None:
-        """Close connections of clients that say nothing, or half a message, for too long."""
+        """Close connections of clients that exceed the time for their first request or for a message."""
         for number in self.admission.overdue(self.timeline.now()):
             self.count["viewer overdue"] += 1
             self._clients[number].close()
 
     def _make_room(self) -> None:
-        """Close connections of clients down to the bound."""
+        """Close connections of clients down to the limit."""
         for number in self.admission.surplus(self.timeline.now()):
             self._close_client(number)
 
@@ -263,47 +265,47 @@
         self._clients[number].close()
 
     def client_read(self) -> float:
-        """Bytes of a viewer are read; how long they may have lain unread, ms."""
+        """Note a read and return how long its bytes may have been unread, ms."""
         self._received += 1
         return self.lag()
 
     def client_received(self, number: int, proven: bool, partial: bool) -> None:
-        """Bytes came on a connection."""
+        """Note received bytes of a connection."""
         self.admission.received(self.timeline.now(), number, proven, partial)
 
     def client_left(self, number: int) -> None:
-        """Nothing more will be heard on a connection, though it may still be written to."""
+        """Nothing more is read from a connection, but unsent bytes may remain."""
         self.admission.closed(number)
         self.notify_core(ev.ViewerDisconnected(number))
 
     def client_closed(self, number: int) -> None:
-        """A connection is over."""
+        """A connection has closed."""
         if self._clients.pop(number, None) is not None:
             self.client_left(number)
 
     # ---- Clients: `ServerConnectionsOwner` ----------------------------------------------------------------
     @property
     def client_connections(self) -> int:
-        """How many connections from clients are open."""
+        """Number of open connections from clients."""
         return len(self._clients)
 
     def client_share_changed(self, max_connections: int) -> None:
-        """Servers have come or gone: so many connections from clients may be open from now on."""
+        """Set the maximum number of connections from clients after the number of servers has changed."""
         self.admission.max_connections = max_connections
-        self.after_reading(self._make_room)  # where there were more before
+        self.after_reading(self._make_room)  # in case the maximum has fallen
 
     def _client_of(self, request: int) -> ClientConnection | None:
         return self._clients.get(self.core.connection_of(request))
 
     def client_socket(self, request: int) -> ClientSocket:
-        """What the socket of a request's client holds that was not read yet."""
+        """Return what is unread on the socket of a request's client."""
         viewer = self._client_of(request)
         return ClientSocket.NOTHING if viewer is None else viewer.socket_state()
 
     def note_reset_client(self, request: int) -> None:
-        """Have the core know where the request's client has reset its connection.
+        """Notify the core if the request's client has reset its connection.
 
-        The protocol hears of that later than the transport.
+        The transport knows of the reset before the protocol's `connection_lost` is called.
         """
         viewer = self._client_of(request)
         if viewer is not None and viewer.is_closing:
--- a/foxlift/platform/viewers.py
+++ b/foxlift/platform/viewers.py
@@ -214,7 +214,7 @@
 def node_number(name: str) -> int:
     """Return a server's number from its name, such as `s-00c41f7a`. Raises ValueError."""
     if len(name) != 10 or not name.startswith("s-") or not _HEX.issuperset(name[2:]):
-        raise _FieldError("box name")
+        raise _FieldError("server name")
     return int(name[2:], 16)
 
 
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -198,7 +198,7 @@
 def test_figures_out_of_range_are_named(field: str, value: Any) -> None:
     found = viewers.read_line(start_line(TAG, opts={field: value}))
     assert isinstance(found, viewers.InvalidSetup) and found.tag == TAG
-    assert field in found.field_name or found.field_name == "box name"
+    assert field in found.field_name or found.field_name == "server name"
 
 
 def test_a_key_said_twice_makes_one_message_of_the_last() -> None:
