--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -127,7 +127,7 @@
     Finding(
         Kind.GROWS,
         "foxlift/director/core.py",
-        "`_uses`, and `_shares` where no makers are named",
+        "`_link_uses`, and `_delivered_shares` where no makers are named",
         "an entry for each server that ever sent a notice",
         worked_out=f"{READ}; one entry a server replaced",
         mend="remove with the server",
@@ -280,7 +280,7 @@
     Finding(
         Kind.WORK,
         "foxlift/director/core.py",
-        "`sights`",
+        "`zone_evidence`",
         "the rates of all sessions are summed anew for each report",
         _scan("sights of zones, over sessions", CONTROL, "sessions"),
         CONNECTIONS,
@@ -290,7 +290,7 @@
     Finding(
         Kind.WORK,
         "foxlift/director/core.py",
-        "`sights`",
+        "`zone_evidence`",
         "all servers are gone over for each zone",
         _scan("sights of zones, over servers", CONTROL, "servers"),
         LISTED,
@@ -470,7 +470,7 @@
     Finding(
         Kind.WHOLE,
         "foxlift/director/core.py",
-        "`Listed` in `_listed`",
+        "`UpdateListedBoxes` in `_list_changed`",
         "each change of a server hands all names on, and takeovers are planned anew from them (as above)",
         _scan("plan of takeovers after one change, 1,000 directors, 1 dead", CONTROL, "servers"),
         LISTED,
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -187,7 +187,7 @@
         self.cached_reloads += 1
         return response
 
-    def session_over(self, session: ev.Session) -> None:
+    def session_closed(self, session: ev.Session) -> None:
         """Drop the cached responses of a session that has ended."""
         for data in self._cached_keys.pop(session.number, ()):
             self._cached.pop(data, None)
--- a/foxlift/director/configuration.py
+++ b/foxlift/director/configuration.py
@@ -47,7 +47,7 @@
         self._timeline, self._counters = timeline, counters
         self._log = structlog.get_logger().bind(director=config.name)
         self._titles = TitleChanges(catalogue, Path(config.catalogue.folder), config.fleet.cells)
-        self._book = DirectorBook(files)
+        self._store = DirectorBook(files)
         self._disk_failed = False
         self._apply_stored()
         relays = config.configuration.relays
@@ -58,21 +58,21 @@
             tuple(relay.name for relay in relays),
             config.seed,
             self._titles.check,
-            self._book.version,
-            self._book.content,
+            self._store.version,
+            self._store.content,
         )
 
     def _apply_stored(self) -> None:
-        if self._book.unusable:
-            self._log.error("configuration on disk not used", detail=self._book.unusable)
-        stored = Change(dict(self._book.content.values))
+        if self._store.unusable:
+            self._log.error("configuration on disk not used", detail=self._store.unusable)
+        stored = Change(dict(self._store.content.values))
         problem = self._titles.check(stored)
         if problem is None:
             self._titles.apply(stored)
             return
         detail = f"{problem.key}: {problem.cause}"
         self._log.error("configuration on disk not used", detail=detail)
-        self._book.start_anew(detail)
+        self._store.start_anew(detail)
 
     @property
     def version(self) -> int:
@@ -82,7 +82,7 @@
     @property
     def flushed(self) -> bool:
         """Whether nothing is waiting to be written to the disk."""
-        return self._book.flushed
+        return self._store.flushed
 
     def start(self) -> None:
         """Start watching the first relay."""
@@ -92,7 +92,7 @@
     def close(self) -> None:
         """Close connections and files."""
         self._client.close()
-        self._book.close()
+        self._store.close()
 
     def _handle(self, event: agent.Event) -> None:
         if not self._client.closed:
@@ -108,7 +108,7 @@
                     self._counters.add("configuration changes")
                     self._log.info("configuration in force", version=version, keys=len(change.puts))
                 case agent.Persist(version, change, whole):
-                    self._book.keep(version, change, whole, self._persisted)
+                    self._store.keep(version, change, whole, self._persisted)
                 case agent.Say(what, version, key, cause):
                     self._counters.add(what)
                     self._log.error(what, version=version, key=key, detail=cause)
@@ -116,11 +116,11 @@
                     self._timeline.later(delay_ms, partial(self._handle, event))
 
     def _send(self, send: agent.SendWatch) -> None:
-        def answered(answer: WatchAnswer | None) -> None:
+        def finished(answer: WatchAnswer | None) -> None:
             self._handle(agent.Answered(send.ask, answer))
 
         body = msgspec.json.encode(send.watch)
-        self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, answered)
+        self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, finished)
 
     def _persisted(self, error: OSError | None) -> None:
         if error is not None and not self._disk_failed:
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -255,8 +255,8 @@
                     self._actions.append(ev.AnswerManifest(request, self.sessions[session]))
                 case cl.TellFailed(request, session):
                     self._actions.append(ev.AnswerFailed(request, session))
-                case cl.TurnDown(request, why):
-                    self._actions.append(ev.AnswerRejected(request, why))
+                case cl.TurnDown(request, reason):
+                    self._actions.append(ev.AnswerRejected(request, reason))
                 case cl.Withdraw(session):
                     self._withdraw(session)
                 case cl.AskAbout(request):
@@ -677,17 +677,17 @@
                     if self.attempts.own(end.session) is not None:
                         self._notice(node, end)
                 self._silent.pop(node, None)
-                kept = frozenset(sessions)
+                held = frozenset(sessions)
                 if self.config.peers.on:
                     # set-ups unknown here were taken over: the response with them is late, or was lost
-                    foreign = {s for s in kept if not self.attempts.knows(s) and self.attempts.own(s) is None}
-                    kept -= foreign
+                    foreign = {s for s in held if not self.attempts.knows(s) and self.attempts.own(s) is None}
+                    held -= foreign
                     if foreign:
                         self._actions.append(ev.FetchTakenOver(node))
-                self._attempt(at.BoxLost(node, boot, kept, counter))
-            case OwnershipLost(sessions, _, when):
+                self._attempt(at.BoxLost(node, boot, held, counter))
+            case OwnershipLost(sessions, _, at_ms):
                 for set_up in sessions:
-                    self._ownership_lost(set_up, when)
+                    self._ownership_lost(set_up, at_ms)
             case Delivered(set_up, share):
                 self._delivered_shares[node] = share, self._now
                 self._note(node, set_up, fl.NoteKind.DELIVERED, share)
@@ -696,19 +696,19 @@
                 self._note(node, set_up, fl.NoteKind.LINK, link)
                 if uplink is not None:
                     self._note(node, set_up, fl.NoteKind.UPLINK, uplink)
-            case RungInForce(set_up, rung, when):
-                self._actions.append(ev.WriteLedgerEntry(lg.Rerung(when or int(self._now), set_up, rung)))
+            case RungInForce(set_up, rung, at_ms):
+                self._actions.append(ev.WriteLedgerEntry(lg.Rerung(at_ms or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
-            case SessionEnded(set_up, how, when):
-                found = self.attempts.own(set_up)
-                if found is not None:
+            case SessionEnded(set_up, how, at_ms):
+                attempt = self.attempts.own(set_up)
+                if attempt is not None:
                     outcome = OUTCOME_OF_END.get(how, fl.Outcome.RESET)
-                    self._attempt(at.EndedAtBox(*found, outcome, when, how == "parked"))
+                    self._attempt(at.EndedAtBox(*attempt, outcome, at_ms, how == "parked"))
 
     def _note(self, node: int, set_up: str, kind: fl.NoteKind, value: float) -> None:
-        found = self.attempts.own(set_up)
-        if found is not None and self.attempts.plays_at(found[0]) == (node, found[1]):
-            self._notify_module(fl.Note(found[0], node, kind, value))
+        attempt = self.attempts.own(set_up)
+        if attempt is not None and self.attempts.plays_at(attempt[0]) == (node, attempt[1]):
+            self._notify_module(fl.Note(attempt[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
     def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -383,26 +383,25 @@
             case events.AnswerFailed(request, number):
                 self.counters.add("failed")
                 self.answers.fail(request, number)
-            case events.AnswerRejected(request, why):
-                self.counters.add("turned down", why.value)
-                self.answers.reject(request, why, self._come_back_ms(why))
+            case events.AnswerRejected(request, reason):
+                self.counters.add("turned down", reason.value)
+                self.answers.reject(request, reason, self._come_back_ms(reason))
             case events.SessionClosed(session):
-                self.answers.session_over(session)
+                self.answers.session_closed(session)
             case _:
                 if self.cluster is not None:
                     self.cluster.carry_out(action)
 
-    def _come_back_ms(self, why: Why) -> float:
+    def _come_back_ms(self, reason: Why) -> float:
         """The time after which a viewer may come back, 0 if it is not stated."""
-        if self.cluster is None or why is not Why.UNREACHED:
+        if self.cluster is None or reason is not Why.UNREACHED:
             return 0.0
         return self.cluster.come_back_ms()
 
     def _record(
         self, action: events.PersistIntent | events.RecordIntentOutcome | events.WriteLedgerEntry
     ) -> None:
-        """Write intents, outcomes and ledger entries. With peers, the token of a paid set-up is claimed
-        first."""
+        """Write intents, outcomes and ledger entries; with peers, a paid token is claimed first."""
         match action:
             case events.PersistIntent() if self.cluster is not None:
                 self.cluster.service.token_claims.claim(action, lambda: self._intents.write(action))
