--- a/foxlift/director/configuration.py
+++ b/foxlift/director/configuration.py
@@ -116,11 +116,11 @@
                     self._timeline.later(delay_ms, partial(self._handle, event))
 
     def _send(self, send: agent.SendWatch) -> None:
-        def answered(answer: WatchResponse | None) -> None:
+        def finished(answer: WatchResponse | None) -> None:
             self._handle(agent.WatchAnswered(send.watch_id, answer))
 
         body = msgspec.json.encode(send.watch)
-        self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, answered)
+        self._client.request(send.source, WATCH_PATH, body, WATCH_TIMEOUT_MS, _decode_answer, finished)
 
     def _persisted(self, error: OSError | None) -> None:
         if error is not None and not self._disk_failed:
