--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -102,7 +102,7 @@
 
 
 def _tell_new(director: agreement.PlanAgreement) -> None:
-    director._tells = 0
+    director._gossip_rounds = 0
     director.handle(1.0, agreement.GossipDue())
 
 
@@ -148,7 +148,13 @@
 
 def _report(message: ReportMessage, at: float) -> Report:
     return Report(
-        message.sender, message.run, message.zone, at, message.lag_ms, message.heard, message.sights
+        message.sender,
+        message.boot_epoch,
+        message.zone,
+        at,
+        message.lag_ms,
+        message.reachable_share,
+        message.observations,
     )
 
 
@@ -169,7 +175,7 @@
     first_99: list[float] = []
 
     def everywhere() -> bool:
-        following = sum(fleet.followed[name].of(lost).state is ZoneState.EMPTIED for name in fleet.up)
+        following = sum(fleet.followed[name].for_zone(lost).state is ZoneState.EMPTIED for name in fleet.up)
         if not first_99 and following >= math.ceil(0.99 * len(fleet.up)):
             first_99.append(fleet.now)
         return following == len(fleet.up)
--- a/foxlift/director/cluster/zone_endpoints.py
+++ b/foxlift/director/cluster/zone_endpoints.py
@@ -25,19 +25,19 @@
 
     def _receive_report(self, exchange: Exchange) -> None:
         message = msgspec.json.decode(exchange.request.body, type=ReportMessage)
-        if self._server.admits(exchange, message.sender, message.run):
+        if self._server.admits(exchange, message.sender, message.boot_epoch):
             self._planning.receive_report(message)
             exchange.reply(204)
 
     def _receive_plan(self, exchange: Exchange) -> None:
         message = msgspec.json.decode(exchange.request.body, type=PlanMessage)
-        if self._server.admits(exchange, message.sender, message.run):
+        if self._server.admits(exchange, message.sender, message.boot_epoch):
             self._planning.receive_plan(message)
             exchange.reply(204)
 
     def _receive_order(self, exchange: Exchange) -> None:
         message = msgspec.json.decode(exchange.request.body, type=OrderMessage)
-        if message.sender and not self._server.admits(exchange, message.sender, message.run):
+        if message.sender and not self._server.admits(exchange, message.sender, message.boot_epoch):
             return
         if self._planning.receive_order(message):
             exchange.reply(204)
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -32,20 +32,22 @@
     """A director's report; when it came is its time."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     zone: ZoneName
     lag_ms: float
-    heard: float
-    sights: Annotated[dict[ZoneName, ZoneObservation], Meta(max_length=MAX_ZONES)]
+    reachable_share: float = msgspec.field(name="heard")
+    observations: Annotated[dict[ZoneName, ZoneObservation], Meta(max_length=MAX_ZONES)] = msgspec.field(
+        name="sights"
+    )
 
 
 class PlanMessage(msgspec.Struct, frozen=True):
     """A plan told on; `made`: ms since a planner was heard of."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     plan: Plan
-    made: float
+    planner_age_ms: float = msgspec.field(name="made")
 
 
 class OrderMessage(msgspec.Struct, frozen=True):
@@ -54,7 +56,7 @@
     zone: ZoneName
     order: OperatorOrder | None = None
     sender: Annotated[str, Meta(max_length=100)] = ""
-    run: BootEpoch = 0
+    boot_epoch: BootEpoch = msgspec.field(default=0, name="run")
 
 
 class PlanningNetwork(Protocol):
@@ -110,8 +112,8 @@
             match action:
                 case agreement.StartTimer(delay_ms, due):
                     self._context.later(delay_ms, partial(self._handle, due))
-                case agreement.SendPlan(to, plan, made):
-                    message = PlanMessage(self._context.name, self._context.boot_epoch, plan, made)
+                case agreement.SendPlan(to, plan, planner_age_ms):
+                    message = PlanMessage(self._context.name, self._context.boot_epoch, plan, planner_age_ms)
                     self._network.notify(to, "/peers/plan", msgspec.json.encode(message))
                 case agreement.ApplyPlan(plan):
                     self._follow(plan)
@@ -153,19 +155,19 @@
         """A report of a director in its present boot epoch."""
         report = Report(
             message.sender,
-            message.run,
+            message.boot_epoch,
             message.zone,
             self._context.now(),
             message.lag_ms,
-            message.heard,
-            message.sights,
+            message.reachable_share,
+            message.observations,
         )
         self._handle(agreement.ReportReceived(report))
 
     # ---- Plans and orders ---------------------------------------------------------------------------------
     def receive_plan(self, message: PlanMessage) -> None:
         """A plan that a peer follows."""
-        self._handle(agreement.PlanReceived(message.plan, message.made))
+        self._handle(agreement.PlanReceived(message.plan, message.planner_age_ms))
 
     def receive_order(self, message: OrderMessage) -> bool:
         """An operator's order; False for a zone that the settings do not name."""
@@ -201,8 +203,8 @@
     What is neither their own nor a target keeps hardly a share, so that a title that lies nowhere else is
     found there before it is looked for in a zone that the plan leaves.
     """
-    left = {zone for zone in zones if plan.of(zone).state in (ZoneState.EMPTIED, ZoneState.ALONE)}
-    own = plan.of(home)
+    left = {zone for zone in zones if plan.for_zone(zone).state in (ZoneState.EMPTIED, ZoneState.ALONE)}
+    own = plan.for_zone(home)
     if not left and own.away <= 0:
         return ()
     shares = {zone: 0.0 if zone in left else MIN_SHARE for zone in zones}
--- a/foxlift/zones/__init__.py
+++ b/foxlift/zones/__init__.py
@@ -1,6 +1,7 @@
-"""Zones and regions fail over by one decision in common: evidence, plan, agreement on it. No I/O, no clock.
+"""Failover of zones and regions by a common plan: evidence, planning, agreement. No I/O, no clock.
 
-`evidence` judges each zone by what directors in several places report of it. `plan` turns judgements into the
-next plan: how much of each zone's own demand goes elsewhere, and where to. `common` has a stated group of
-makers agree on one plan a number, and each director follow the highest that it heard. Not wired yet.
+`evidence` assesses each zone from the reports of directors in several places. `plan` makes the next plan from
+the assessments: how much of each zone's own demand goes elsewhere, and where to. In `agreement` a group of
+planners agrees on one plan a number, and each director follows the highest that it received. The wiring is
+`foxlift.director.cluster.zone_planning`.
 """
--- a/foxlift/zones/evidence.py
+++ b/foxlift/zones/evidence.py
@@ -1,18 +1,20 @@
-"""How each zone stands, judged from what directors report of it. No I/O, no clock.
-
-    reports say                                             judgement
-    too few places, or nothing recent                       UNKNOWN
-    two thirds of the places outside cannot reach it, and
-      nobody inside is heard, or half of them say the same  GONE: dead, or cut off from here; not told apart
-      those inside are heard and serve well                 CUT: it serves its own viewers
-    half of the places see it deliver less, or answer late,
-      and its boxes are not simply full                     WEAK
-    it delivers less and all that it gives is asked         FULL: load, no failure
-    else                                                    FINE
-
-One place is one voice: the directors of a zone are averaged first, so that fifty of them which share a broken
-switch do not outvote five zones. Left out are reports that are old, of an earlier run, of a director that
-stood still, hears fewer than half of its peers, or alone sees most zones broken: it is sick, not they.
+"""The health of each zone, assessed from the reports of directors. No I/O, no clock.
+
+    reports say                                               health
+    too few places report, or no report is recent             UNKNOWN
+    two thirds of the other places cannot reach the zone, and
+      no report comes from inside, or half of those from
+      inside cannot reach its boxes either                    GONE: dead or cut off, indistinguishable
+      reports from inside say that it serves well             CUT: it serves its own viewers
+    half of the places see it deliver less or respond slowly,
+      and its boxes are not just at capacity                  WEAK
+    it delivers less, and all its capacity is requested       FULL: overload, not a failure
+    else                                                      FINE
+
+Each place counts once: the reports of directors in one zone are averaged first, so that fifty directors
+behind one broken switch do not outvote five zones. Ignored are reports that are old or of an earlier boot
+epoch, and those of directors that are probably faulty themselves: stalled, reaching fewer than half of their
+peers, or alone in seeing most zones broken.
 """
 
 from __future__ import annotations
@@ -22,17 +24,17 @@
 from enum import Enum
 from statistics import fmean
 
-STALE_MS = 3000.0
-LAG_MS = 500.0  # a loop that stood still for longer sees ghosts
-MAX_REPORTS = 4096  # observers held
-UNREACHED = 2 / 3
+MAX_REPORT_AGE_MS = 3000.0
+MAX_LAG_MS = 500.0  # a director whose event loop stalled for longer sees timeouts of its own making
+MAX_REPORTS = 4096  # directors with a stored report
+UNREACHABLE_FRACTION = 2 / 3
 HALF = 0.5
-SHORT = 0.9  # delivered share under which a zone falls short
-FULL_AT = 0.95  # of what it gives is asked: then falling short is load
+MIN_DELIVERED = 0.9  # delivered share; below it a zone is weak
+FULL_FRACTION = 0.95  # of the capacity requested: above it a low delivery is overload
 
 
 class ZoneHealth(Enum):
-    """How a zone stands."""
+    """The health of a zone."""
 
     UNKNOWN = "unknown"
     FINE = "fine"
@@ -44,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservation:
-    """What one director sees of one zone. Rates are kB/s.
+    """What one director observes of one zone. Rates are kB/s.
 
-    `refused`, `silent`, `slow`: boxes; `delivered`: mean share of rates; `gives`: what its boxes could carry
-    below their marks; `asked`: what is asked of them; `demand`: what this director's own viewers of that home
-    zone ask.
+    `refused`, `silent`, `slow`: boxes that refuse connections, do not respond, or respond slowly.
+    `delivered`: mean delivered share of the rates. `gives`: the capacity of its boxes below their marks.
+    `asked`: what is requested of them. `demand`: what this director's own viewers of that home zone request.
     """
 
     boxes: int
@@ -61,44 +63,47 @@
     demand: float = 0.0
 
     @property
-    def unreached(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether half of the servers or more refuse or are silent."""
         return self.boxes > 0 and (self.refused + self.silent) / self.boxes >= HALF
 
     @property
-    def weak(self) -> bool:
+    def is_weak(self) -> bool:
         """Whether half of the servers are slow, or too little is delivered."""
-        return self.boxes > 0 and (self.slow / self.boxes >= HALF or self.delivered < SHORT)
+        return self.boxes > 0 and (self.slow / self.boxes >= HALF or self.delivered < MIN_DELIVERED)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the rates asked for come up to the capacity."""
-        return self.gives > 0 and self.asked >= FULL_AT * self.gives
+        return self.gives > 0 and self.asked >= FULL_FRACTION * self.gives
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One director's. `at`: when it was made, on the assess's clock; `heard`: share of its peers it hears."""
+    """One director's report. `zone`: where the director runs. `at`: when it arrived at the assessing planner.
+
+    `reachable_share`: share of its peers that the director reaches.
+    """
 
     observer: str
-    run: int
-    zone: str  # where it stands
+    boot_epoch: int
+    zone: str  # the director's own zone
     at: float
     lag_ms: float
-    heard: float
-    sights: dict[str, ZoneObservation]
+    reachable_share: float
+    observations: dict[str, ZoneObservation]
 
     @property
-    def sick(self) -> bool:
-        """Whether the trouble is the observer's own, by its own account."""
-        return self.lag_ms > LAG_MS or self.heard < HALF
+    def is_faulty(self) -> bool:
+        """Whether the director's own state makes its observations unreliable."""
+        return self.lag_ms > MAX_LAG_MS or self.reachable_share < HALF
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneAssessment:
-    """One zone's. `share`: of its demand that it can serve; rates summed over who reported, kB/s."""
+    """The result for one zone. `share`: of its demand that it can serve. Rates over all reports, kB/s."""
 
-    verdict: ZoneHealth
+    health: ZoneHealth
     share: float = 1.0
     gives: float = 0.0
     asked: float = 0.0
@@ -107,23 +112,23 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """The latest report of each observer. `zones`: all of the settings."""
+    """The latest report of each director. `zones`: all zones of the settings."""
 
     zones: tuple[str, ...]
     _reports: dict[str, Report] = field(default_factory=dict)
 
     def add(self, report: Report) -> None:
-        """Take a report in; one of an earlier run, or older than what is held, is passed over."""
-        known = self._reports.get(report.observer)
-        if known is not None and (report.run, report.at) <= (known.run, known.at):
+        """Add a report, unless it is of an earlier boot epoch or older than the stored one."""
+        latest = self._reports.get(report.observer)
+        if latest is not None and (report.boot_epoch, report.at) <= (latest.boot_epoch, latest.at):
             return
-        if known is None and len(self._reports) >= MAX_REPORTS:
+        if latest is None and len(self._reports) >= MAX_REPORTS:
             return
         self._reports[report.observer] = report
 
     def forget(self, now: float) -> None:
-        """Drop what is long past: the table is bounded by who reports."""
-        old = [name for name, report in self._reports.items() if now - report.at > 20 * STALE_MS]
+        """Delete long outdated reports."""
+        old = [name for name, report in self._reports.items() if now - report.at > 20 * MAX_REPORT_AGE_MS]
         for name in old:
             del self._reports[name]
 
@@ -131,56 +136,69 @@
         return len(self._reports)
 
     def assess(self, now: float) -> dict[str, ZoneAssessment]:
-        """Every zone as it stands now."""
-        reports = [r for r in self._reports.values() if now - r.at <= STALE_MS and not r.sick]
-        reports = self._without_lonely(reports)
-        return {zone: self._zone(zone, reports) for zone in self.zones}
+        """Assess every zone."""
+        reports = [r for r in self._reports.values() if now - r.at <= MAX_REPORT_AGE_MS and not r.is_faulty]
+        reports = self._without_outliers(reports)
+        return {zone: self._assess_zone(zone, reports) for zone in self.zones}
 
-    def _without_lonely(self, reports: list[Report]) -> list[Report]:
-        """Without those that see most of the other zones broken while most other places do not."""
+    def _without_outliers(self, reports: list[Report]) -> list[Report]:
+        """Drop reports that see most other zones broken while most other places do not."""
         places: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
         for report in reports:
-            for zone, sight in report.sights.items():
-                places[zone][report.zone].append(sight.unreached)
+            for zone, observation in report.observations.items():
+                places[zone][report.zone].append(observation.is_unreachable)
         broken = {
             zone: fmean(fmean(said) for said in by_place.values()) >= HALF
             for zone, by_place in places.items()
         }
 
-        def lonely(report: Report) -> bool:
-            others = [zone for zone in report.sights if zone != report.zone]
-            alone = [zone for zone in others if report.sights[zone].unreached and not broken[zone]]
+        def is_outlier(report: Report) -> bool:
+            others = [zone for zone in report.observations if zone != report.zone]
+            alone = [zone for zone in others if report.observations[zone].is_unreachable and not broken[zone]]
             return len(others) > 1 and len(alone) > HALF * len(others)
 
-        return [report for report in reports if not lonely(report)]
+        return [report for report in reports if not is_outlier(report)]
 
-    def _zone(self, zone: str, reports: list[Report]) -> ZoneAssessment:
-        inside = [r.sights[zone] for r in reports if r.zone == zone and zone in r.sights]
+    def _assess_zone(self, zone: str, reports: list[Report]) -> ZoneAssessment:
+        inside = [r.observations[zone] for r in reports if r.zone == zone and zone in r.observations]
         outside: dict[str, list[ZoneObservation]] = defaultdict(list)
         for report in reports:
-            if report.zone != zone and zone in report.sights:
-                outside[report.zone].append(report.sights[zone])
-        everyone = [*inside, *(sight for sights in outside.values() for sight in sights)]
+            if report.zone != zone and zone in report.observations:
+                outside[report.zone].append(report.observations[zone])
+        everyone = [
+            *inside,
+            *(observation for observations in outside.values() for observation in observations),
+        ]
         if not everyone:
             return ZoneAssessment(ZoneHealth.UNKNOWN)
-        # the zone as a whole, from whoever sees most of it; demand is each director's own, so it adds up
-        gives = max(sight.gives for sight in everyone)
-        asked = max(sight.asked for sight in everyone)
-        demand = sum(sight.demand for sight in everyone)
-        unreached = (
-            fmean(fmean(s.unreached for s in sights) for sights in outside.values()) if outside else 0.0
+        # capacity and requests: the largest view of the zone; demand: each director's own, so it is summed
+        gives = max(observation.gives for observation in everyone)
+        asked = max(observation.asked for observation in everyone)
+        demand = sum(observation.demand for observation in everyone)
+        unreachable = (
+            fmean(fmean(s.is_unreachable for s in observations) for observations in outside.values())
+            if outside
+            else 0.0
         )
-        if len(outside) >= 2 and unreached >= UNREACHED:
-            well = bool(inside) and fmean(sight.unreached for sight in inside) < HALF
+        if len(outside) >= 2 and unreachable >= UNREACHABLE_FRACTION:
+            serves_own = bool(inside) and fmean(observation.is_unreachable for observation in inside) < HALF
             return ZoneAssessment(
-                ZoneHealth.CUT if well else ZoneHealth.GONE, 1.0 if well else 0.0, gives, asked, demand
+                ZoneHealth.CUT if serves_own else ZoneHealth.GONE,
+                1.0 if serves_own else 0.0,
+                gives,
+                asked,
+                demand,
             )
         places = [*outside.values(), *([inside] if inside else [])]
-        weak = fmean(fmean(s.weak for s in sights) for sights in places)
+        weak = fmean(fmean(s.is_weak for s in observations) for observations in places)
         if weak >= HALF:
-            share = min(max(fmean(fmean(s.delivered for s in sights) for sights in places), 0.0), 1.0)
-            full = fmean(fmean(s.full for s in sights) for sights in places) >= HALF
-            slow = fmean(fmean(s.slow / s.boxes if s.boxes else 0.0 for s in sights) for sights in places)
+            share = min(
+                max(fmean(fmean(s.delivered for s in observations) for observations in places), 0.0), 1.0
+            )
+            full = fmean(fmean(s.is_full for s in observations) for observations in places) >= HALF
+            slow = fmean(
+                fmean(s.slow / s.boxes if s.boxes else 0.0 for s in observations) for observations in places
+            )
             if full and slow < HALF:
                 return ZoneAssessment(ZoneHealth.FULL, share, gives, asked, demand)
             return ZoneAssessment(ZoneHealth.WEAK, min(share, 1.0 - slow / 2), gives, asked, demand)
--- a/foxlift/zones/plan.py
+++ b/foxlift/zones/plan.py
@@ -1,30 +1,31 @@
-"""The next plan from how zones stand: how much of each zone's own demand goes elsewhere, and where to.
-
-    zone       judged, for so long               next        share of its demand that goes elsewhere
-    NEAR       WEAK or FULL, CONFIRM_MS          LEANING     what it cannot carry, if others can
-    NEAR       GONE, CONFIRM_MS                  EMPTIED     all that others can carry
-    NEAR       CUT, CONFIRM_MS                   ALONE       nothing: it serves its own, and nobody else's
-    ALONE      FINE, WEAK or FULL, steady        NEAR
-    ALONE      GONE, CONFIRM_MS                  EMPTIED
-    LEANING    WEAK or FULL                      LEANING     as it changes, by steps worth telling
-    LEANING    GONE, CONFIRM_MS                  EMPTIED
-    LEANING    FINE, steady                      RETURNING
-    EMPTIED    FINE, WEAK or CUT, steady         RETURNING
-    RETURNING  every STEP_MS                     RETURNING   STEP less; as little as its boxes bear
-    RETURNING  nothing goes elsewhere any more   NEAR
-    RETURNING  GONE or WEAK                      EMPTIED, LEANING
-    any        UNKNOWN                           as it was
-    any        an operator's order               EMPTIED, RETURNING or as it was
-
-What leaves a zone goes to the nearest that has room below its mark: zones of its region first, then others,
-in the order of the settings. No target is given more than its room, so what fits nowhere stays where it is,
-or is refused there by least worth: the module does that. A zone is emptied only while another one is good,
-and two are never emptied in one plan where the second's demand has no room left.
-
-Steady is STEADY_MS, twice as long after each time that it was left again within FLAP_MS, up to MOST_STEADY
-times: a zone that flaps stays away.
-
-A solver for the least crossing (highspy) comes with the wiring; this greedy fill stands in where it is late.
+"""The next plan from the health of zones: how much of each zone's own demand goes elsewhere, and where to.
+
+    zone       health, for how long                next        share of its demand that goes elsewhere
+    NEAR       WEAK or FULL, CONFIRM_MS            LEANING     what it cannot serve, if others can
+    NEAR       GONE, CONFIRM_MS                    EMPTIED     all that others can serve
+    NEAR       CUT, CONFIRM_MS                     ALONE       nothing: it serves its own viewers only
+    ALONE      FINE, WEAK or FULL, steady          NEAR
+    ALONE      GONE, CONFIRM_MS                    EMPTIED
+    LEANING    WEAK or FULL                        LEANING     adjusted where it changes by MIN_CHANGE
+    LEANING    GONE, CONFIRM_MS                    EMPTIED
+    LEANING    FINE, steady                        RETURNING
+    EMPTIED    FINE, WEAK or CUT, steady           RETURNING
+    RETURNING  every RETURN_STEP_MS                RETURNING   RETURN_STEP less
+    RETURNING  nothing goes elsewhere any more     NEAR
+    RETURNING  GONE or WEAK                        EMPTIED, LEANING
+    any        UNKNOWN                             unchanged
+    any        an operator's order                 EMPTIED, RETURNING or unchanged
+
+Demand goes to the nearest zones with free capacity below MAX_FILL: zones of the same region first, then
+others, in the order of the settings. No target gets more than its free capacity. What fits nowhere stays in
+its zone, or is refused there by least worth, which is the module's decision. A zone is emptied only while
+another one is in good health, and two are never emptied in one plan if there is no free capacity for the
+second's demand.
+
+Steady means STEADY_MS, doubled each time that the zone left again within FLAP_WINDOW_MS, up to
+MAX_STEADY_FACTOR times: a flapping zone stays away.
+
+The assignment is greedy, without a solver such as highspy for the least traffic between zones.
 """
 
 from __future__ import annotations
@@ -40,17 +41,17 @@
 
 CONFIRM_MS = 1000.0
 STEADY_MS = 5000.0
-FLAP_MS = 60_000.0
-MOST_STEADY = 8
-STEP_MS = 2000.0
-STEP = 0.25
-MARK = 0.9  # of what a zone gives: no plan fills it above
-WORTH_TELLING = 0.05  # a smaller change of a share makes no plan
-ORDER_MS = 86_400_000.0  # an operator's order that nobody took back in a day is over
+FLAP_WINDOW_MS = 60_000.0
+MAX_STEADY_FACTOR = 8
+RETURN_STEP_MS = 2000.0
+RETURN_STEP = 0.25
+MAX_FILL = 0.9  # of a zone's capacity: no plan assigns more
+MIN_CHANGE = 0.05  # of a share; a smaller change makes no new plan
+ORDER_LIFETIME_MS = 86_400_000.0  # an operator's order expires after a day
 
 
 class ZoneState(Enum):
-    """What a plan says of a zone."""
+    """The state of a zone in a plan."""
 
     NEAR = "near"
     LEANING = "leaning"
@@ -60,7 +61,7 @@
 
 
 class OperatorOrder(Enum):
-    """An operator's hand on a zone; it goes before evidence."""
+    """An operator's order for a zone. It takes precedence over the zone's health."""
 
     EMPTY = "empty"
     RETURN = "return"
@@ -72,7 +73,7 @@
 
 
 class ZonePlan(msgspec.Struct, frozen=True):
-    """One zone's part: `away` of its demand goes to `to`, whose shares add up to `away`."""
+    """One zone's part: the share `away` of its demand goes to the zones `to`, whose shares add up to it."""
 
     state: ZoneState = ZoneState.NEAR
     away: Share = 0.0
@@ -80,12 +81,12 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What all directors go by. A zone that it does not name is near."""
+    """The plan of all zones. A zone that it does not name is NEAR."""
 
     number: Annotated[int, Meta(ge=0, lt=2**53)] = 0
     zones: dict[Name, ZonePlan] = {}
 
-    def of(self, zone: str) -> ZonePlan:
+    def for_zone(self, zone: str) -> ZonePlan:
         """A zone's part."""
         return self.zones.get(zone, NEAR)
 
@@ -94,12 +95,12 @@
 
 
 def write_plan(plan: Plan) -> str:
-    """The plan as it is agreed on and travels."""
+    """Encode a plan as its register's value."""
     return msgspec.json.encode(plan).decode()
 
 
 def read_plan(text: str) -> Plan | None:
-    """None where it cannot be read."""
+    """Decode a plan. None if unreadable."""
     try:
         return msgspec.json.decode(text, type=Plan)
     except msgspec.MsgspecError:
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ActiveOrder:
-    """An operator's order, since when."""
+    """An operator's order, and when it was given."""
 
     order: OperatorOrder
     since: float
@@ -116,15 +117,15 @@
 
 @dataclass(slots=True)
 class _Zone:
-    verdict: ZoneHealth = ZoneHealth.UNKNOWN
-    since: float = 0.0  # when it was first judged so without a break
-    stepped: float = 0.0  # when its share was last lowered
-    left: list[float] = field(default_factory=list)  # when it left NEAR or RETURNING, the latest few
+    health: ZoneHealth = ZoneHealth.UNKNOWN
+    since: float = 0.0  # since when the health is the same
+    returned_at: float = 0.0  # when its share last decreased
+    left: list[float] = field(default_factory=list)  # the latest times when it left NEAR or RETURNING
 
 
 @dataclass(slots=True)
 class Planner:
-    """Makes plans. `regions`: of each zone, in the order of nearness that the settings state."""
+    """Makes plans. `regions`: of each zone, in the settings' order, which is the order of nearness."""
 
     regions: dict[str, str]
     _zones: dict[str, _Zone] = field(default_factory=dict)
@@ -134,7 +135,7 @@
         self._zones = {zone: _Zone() for zone in self.regions}
 
     def order(self, now: float, zone: str, order: OperatorOrder | None) -> None:
-        """An operator's hand; None takes it back. KeyError for a zone that the settings do not name."""
+        """Set an operator's order; None withdraws it. Raises KeyError for a zone not in the settings."""
         if zone not in self.regions:
             raise KeyError(zone)
         if order is None:
@@ -142,44 +143,46 @@
         else:
             self._orders[zone] = _ActiveOrder(order, now)
 
-    def next(self, now: float, judged: dict[str, ZoneAssessment], current: Plan) -> Plan | None:
-        """The plan after `current`, or None where nothing is worth telling."""
+    def next(self, now: float, assessments: dict[str, ZoneAssessment], current: Plan) -> Plan | None:
+        """The plan after `current`; None where the change would be too small."""
         for zone, known in self._zones.items():
-            verdict = judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).verdict
-            if verdict is not known.verdict:
-                known.verdict, known.since = verdict, now
-        self._orders = {z: o for z, o in self._orders.items() if now - o.since < ORDER_MS}
-        wanted = {zone: self._state(now, zone, judged, current.of(zone)) for zone in self.regions}
-        self._spare_the_last(wanted, judged, current)
-        made = self._place(wanted, judged)
-        if not any(self._differs(made[zone], current.of(zone)) for zone in self.regions):
+            health = assessments.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).health
+            if health is not known.health:
+                known.health, known.since = health, now
+        self._orders = {z: o for z, o in self._orders.items() if now - o.since < ORDER_LIFETIME_MS}
+        wanted = {
+            zone: self._next_state(now, zone, assessments, current.for_zone(zone)) for zone in self.regions
+        }
+        self._keep_one_zone(wanted, assessments, current)
+        zones = self._assign_targets(wanted, assessments)
+        if not any(self._is_change(zones[zone], current.for_zone(zone)) for zone in self.regions):
             return None
-        for zone, found in made.items():
-            before = current.of(zone)
-            if found.away < before.away - 1e-9:
-                self._zones[zone].stepped = now
-            leaves = found.state in (ZoneState.EMPTIED, ZoneState.LEANING, ZoneState.ALONE)
+        for zone, planned in zones.items():
+            before = current.for_zone(zone)
+            if planned.away < before.away - 1e-9:
+                self._zones[zone].returned_at = now
+            leaves = planned.state in (ZoneState.EMPTIED, ZoneState.LEANING, ZoneState.ALONE)
             if leaves and before.state in (ZoneState.NEAR, ZoneState.RETURNING):
-                self._zones[zone].left = [*self._zones[zone].left[-MOST_STEADY:], now]
-        return Plan(current.number + 1, made)
+                self._zones[zone].left = [*self._zones[zone].left[-MAX_STEADY_FACTOR:], now]
+        return Plan(current.number + 1, zones)
 
     # ---- One zone -----------------------------------------------------------------------------------------
-    def _state(
-        self, now: float, zone: str, judged: dict[str, ZoneAssessment], before: ZonePlan
+    def _next_state(
+        self, now: float, zone: str, assessments: dict[str, ZoneAssessment], before: ZonePlan
     ) -> tuple[ZoneState, float]:
-        """Where it goes, and the share that is to leave if there is room."""
-        known, found = self._zones[zone], judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN))
-        hand = self._orders.get(zone)
-        if hand is not None and hand.order is OperatorOrder.HOLD:
+        """The next state, and the share of demand that is to leave if there is capacity for it."""
+        known, assessment = self._zones[zone], assessments.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN))
+        active = self._orders.get(zone)
+        if active is not None and active.order is OperatorOrder.HOLD:
             return before.state, before.away
-        if hand is not None and hand.order is OperatorOrder.EMPTY:
+        if active is not None and active.order is OperatorOrder.EMPTY:
             return ZoneState.EMPTIED, 1.0
-        if hand is not None:  # to return, and then to stay: whatever the evidence says
+        if active is not None:  # RETURN: step by step, then NEAR for the order's lifetime
             return (
                 (ZoneState.NEAR, 0.0) if before.state is ZoneState.NEAR else self._return(now, zone, before)
             )
         lasts = now - known.since
-        match found.verdict:
+        match assessment.health:
             case ZoneHealth.UNKNOWN:
                 return before.state, before.away
             case ZoneHealth.GONE:
@@ -192,7 +195,7 @@
             ):
                 if lasts < CONFIRM_MS and before.state is ZoneState.NEAR:
                     return before.state, before.away
-                return ZoneState.LEANING, self._too_much(found)
+                return ZoneState.LEANING, self._excess_share(assessment)
             case ZoneHealth.CUT if before.state in (ZoneState.NEAR, ZoneState.ALONE):
                 alone = before.state is ZoneState.ALONE or lasts >= CONFIRM_MS
                 return (ZoneState.ALONE if alone else ZoneState.NEAR), 0.0
@@ -208,60 +211,65 @@
                 return self._return(now, zone, before)
 
     def _return(self, now: float, zone: str, before: ZonePlan) -> tuple[ZoneState, float]:
-        """A step back towards near: never all at once, for its boxes are cold and its caches empty."""
-        if before.state is ZoneState.RETURNING and now - self._zones[zone].stepped < STEP_MS:
+        """One step back towards NEAR: its boxes have cold caches, so demand returns gradually."""
+        if before.state is ZoneState.RETURNING and now - self._zones[zone].returned_at < RETURN_STEP_MS:
             return ZoneState.RETURNING, before.away
-        away = max(before.away - STEP, 0.0)
+        away = max(before.away - RETURN_STEP, 0.0)
         return (ZoneState.NEAR, 0.0) if away <= 0.0 else (ZoneState.RETURNING, away)
 
-    def _too_much(self, found: ZoneAssessment) -> float:
-        """The share of its demand that it cannot carry."""
-        if found.demand <= 0:
+    def _excess_share(self, assessment: ZoneAssessment) -> float:
+        """The share of its demand that the zone cannot serve."""
+        if assessment.demand <= 0:
             return 0.0
-        carries = found.gives * MARK * (found.share if found.verdict is ZoneHealth.WEAK else 1.0)
-        return min(max(1.0 - carries / found.demand, 0.0), 1.0)
+        carries = (
+            assessment.gives * MAX_FILL * (assessment.share if assessment.health is ZoneHealth.WEAK else 1.0)
+        )
+        return min(max(1.0 - carries / assessment.demand, 0.0), 1.0)
 
     def _steady_ms(self, now: float, zone: str) -> float:
-        lately = sum(now - at < FLAP_MS for at in self._zones[zone].left)
-        return STEADY_MS * min(2.0 ** max(lately - 1, 0), MOST_STEADY)
-
-    def _spare_the_last(
-        self, wanted: dict[str, tuple[ZoneState, float]], judged: dict[str, ZoneAssessment], current: Plan
+        recent = sum(now - at < FLAP_WINDOW_MS for at in self._zones[zone].left)
+        return STEADY_MS * min(2.0 ** max(recent - 1, 0), MAX_STEADY_FACTOR)
+
+    def _keep_one_zone(
+        self,
+        wanted: dict[str, tuple[ZoneState, float]],
+        assessments: dict[str, ZoneAssessment],
+        current: Plan,
     ) -> None:
-        """A zone is emptied only while another stays good: stale or common evidence must not empty all."""
+        """Empty no further zone where no zone would stay in good health: the evidence may be wrong."""
         good = {ZoneHealth.FINE, ZoneHealth.WEAK, ZoneHealth.FULL}
         left = [
             zone
             for zone, (state, _) in wanted.items()
             if state is not ZoneState.EMPTIED
-            and judged.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).verdict in good
+            and assessments.get(zone, ZoneAssessment(ZoneHealth.UNKNOWN)).health in good
         ]
         if left:
             return
         for zone, (state, _) in wanted.items():
-            if state is ZoneState.EMPTIED and current.of(zone).state is not ZoneState.EMPTIED:
-                before = current.of(zone)
+            if state is ZoneState.EMPTIED and current.for_zone(zone).state is not ZoneState.EMPTIED:
+                before = current.for_zone(zone)
                 wanted[zone] = before.state, before.away
 
     # ---- All zones ----------------------------------------------------------------------------------------
-    def _place(
-        self, wanted: dict[str, tuple[ZoneState, float]], judged: dict[str, ZoneAssessment]
+    def _assign_targets(
+        self, wanted: dict[str, tuple[ZoneState, float]], assessments: dict[str, ZoneAssessment]
     ) -> dict[str, ZonePlan]:
-        """Give what leaves a place; what has none stays."""
+        """Assign what leaves to other zones; what fits nowhere stays."""
         nothing = ZoneAssessment(ZoneHealth.UNKNOWN)
         room: dict[str, float] = {}
         for zone, (state, away) in wanted.items():
-            found = judged.get(zone, nothing)
-            takes = found.verdict is ZoneHealth.FINE and state in (ZoneState.NEAR, ZoneState.RETURNING)
-            keeps = found.demand * (1.0 - away)
-            room[zone] = max(found.gives * MARK - keeps, 0.0) if takes and away == 0.0 else 0.0
-        made: dict[str, ZonePlan] = {}
-        # whoever has nothing of its own left goes first
+            assessment = assessments.get(zone, nothing)
+            takes = assessment.health is ZoneHealth.FINE and state in (ZoneState.NEAR, ZoneState.RETURNING)
+            keeps = assessment.demand * (1.0 - away)
+            room[zone] = max(assessment.gives * MAX_FILL - keeps, 0.0) if takes and away == 0.0 else 0.0
+        zones: dict[str, ZonePlan] = {}
+        # emptied zones have no capacity of their own, so they go first
         for zone in sorted(
             wanted, key=lambda z: (wanted[z][0] is not ZoneState.EMPTIED, list(self.regions).index(z))
         ):
             state, away = wanted[zone]
-            demand = judged.get(zone, nothing).demand
+            demand = assessments.get(zone, nothing).demand
             to: dict[str, float] = {}
             left = demand * away
             for target in self._nearest(zone):
@@ -271,24 +279,24 @@
                     left -= given
                     to[target] = round(given / demand, 6)
             if state is ZoneState.EMPTIED and demand <= 0:
-                made[zone] = ZonePlan(state, 1.0, {})
+                zones[zone] = ZonePlan(state, 1.0, {})
                 continue
             gone = round(sum(to.values()), 6)
             if state is ZoneState.EMPTIED or gone > 0 or state is ZoneState.RETURNING:
-                made[zone] = ZonePlan(state, min(gone if demand > 0 else away, 1.0), to)
+                zones[zone] = ZonePlan(state, min(gone if demand > 0 else away, 1.0), to)
             else:
-                made[zone] = NEAR if state is ZoneState.NEAR else ZonePlan(state, 0.0, {})
-        return made
+                zones[zone] = NEAR if state is ZoneState.NEAR else ZonePlan(state, 0.0, {})
+        return zones
 
     def _nearest(self, zone: str) -> list[str]:
-        """Zones of its region first, then the others, each in the order of the settings."""
+        """Zones of the same region first, then the others, each in the settings' order."""
         others = [other for other in self.regions if other != zone]
         return sorted(others, key=lambda other: self.regions[other] != self.regions[zone])
 
     @staticmethod
-    def _differs(one: ZonePlan, other: ZonePlan) -> bool:
+    def _is_change(one: ZonePlan, other: ZonePlan) -> bool:
         if one.state is not other.state:
             return True
         names = one.to.keys() | other.to.keys()
         apart = max((abs(one.to.get(n, 0.0) - other.to.get(n, 0.0)) for n in names), default=0.0)
-        return apart >= WORTH_TELLING or abs(one.away - other.away) >= WORTH_TELLING
+        return apart >= MIN_CHANGE or abs(one.away - other.away) >= MIN_CHANGE
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,10 +16,10 @@
 from foxlift.zones import agreement as ag
 from foxlift.zones.evidence import Evidence, Report, ZoneAssessment, ZoneHealth, ZoneObservation
 from foxlift.zones.plan import (
-    MARK,
+    MAX_FILL,
+    RETURN_STEP,
+    RETURN_STEP_MS,
     STEADY_MS,
-    STEP,
-    STEP_MS,
     OperatorOrder,
     Plan,
     Planner,
@@ -53,29 +53,29 @@
 
 
 def test_a_zone_that_nobody_reaches_is_gone_and_one_heard_from_inside_is_cut() -> None:
-    outside = [report(zone, sights=sees({"n1"})) for zone in NAMES if zone != "n1"]
-    assert judge(*outside)["n1"].verdict is ZoneHealth.GONE
-    assert judge(*outside, report("n1"))["n1"].verdict is ZoneHealth.CUT
-    assert judge(*outside, report("n1", sights=sees({"n1"})))["n1"].verdict is ZoneHealth.GONE
-    assert judge(*outside)["n2"].verdict is ZoneHealth.FINE
+    outside = [report(zone, observations=sees({"n1"})) for zone in NAMES if zone != "n1"]
+    assert judge(*outside)["n1"].health is ZoneHealth.GONE
+    assert judge(*outside, report("n1"))["n1"].health is ZoneHealth.CUT
+    assert judge(*outside, report("n1", observations=sees({"n1"})))["n1"].health is ZoneHealth.GONE
+    assert judge(*outside)["n2"].health is ZoneHealth.FINE
 
 
 def test_one_place_is_one_voice_however_many_directors_it_has() -> None:
-    many = [report("s1", k, sights=sees({"n1"})) for k in range(50)]
+    many = [report("s1", k, observations=sees({"n1"})) for k in range(50)]
     others = [report(zone) for zone in NAMES if zone not in ("n1", "s1")]
-    assert judge(*many, *others)["n1"].verdict is ZoneHealth.FINE
+    assert judge(*many, *others)["n1"].health is ZoneHealth.FINE
 
 
-@pytest.mark.parametrize("more", [{"lag_ms": 5000.0}, {"heard": 0.3}, {"at": -9000.0}])
+@pytest.mark.parametrize("more", [{"lag_ms": 5000.0}, {"reachable_share": 0.3}, {"at": -9000.0}])
 def test_a_sick_or_stale_observer_has_no_voice(more: dict[str, Any]) -> None:
-    sick = [report(zone, 0, sights=sees({"n1"}), **more) for zone in ("s1", "s2", "w1")]
-    assert judge(*sick, report("n2"), report("w2"))["n1"].verdict is ZoneHealth.FINE
+    sick = [report(zone, 0, observations=sees({"n1"}), **more) for zone in ("s1", "s2", "w1")]
+    assert judge(*sick, report("n2"), report("w2"))["n1"].health is ZoneHealth.FINE
 
 
 def test_a_lying_observer_that_sees_all_others_broken_has_no_voice() -> None:
-    liar = report("s1", sights=sees(set(NAMES) - {"s1"}))
+    liar = report("s1", observations=sees(set(NAMES) - {"s1"}))
     found = judge(liar, *(report(zone) for zone in ("n1", "w1")))
-    assert all(judgement.verdict is ZoneHealth.FINE for judgement in found.values())
+    assert all(judgement.health is ZoneHealth.FINE for judgement in found.values())
 
 
 def test_load_is_told_from_failure() -> None:
@@ -83,16 +83,16 @@
     weak = ZoneObservation(4, delivered=0.7, gives=1000.0, asked=400.0)
     slow = ZoneObservation(4, slow=3, gives=1000.0, asked=400.0)
     for sight, verdict in ((full, ZoneHealth.FULL), (weak, ZoneHealth.WEAK), (slow, ZoneHealth.WEAK)):
-        found = judge(*(report(zone, sights=sees(n1=sight)) for zone in NAMES))
-        assert found["n1"].verdict is verdict
+        found = judge(*(report(zone, observations=sees(n1=sight)) for zone in NAMES))
+        assert found["n1"].health is verdict
 
 
 def test_an_old_or_replayed_report_undoes_nothing_and_tables_are_bounded() -> None:
     evidence = Evidence(NAMES)
-    new = report("s1", run=2, at=2000.0)
+    new = report("s1", boot_epoch=2, at=2000.0)
     evidence.add(new)
-    evidence.add(report("s1", run=1, at=9000.0, sights=sees({"n1"})))
-    evidence.add(report("s1", run=2, at=1000.0, sights=sees({"n1"})))
+    evidence.add(report("s1", boot_epoch=1, at=9000.0, observations=sees({"n1"})))
+    evidence.add(report("s1", boot_epoch=2, at=1000.0, observations=sees({"n1"})))
     assert list(evidence._reports.values()) == [new]
     for k in range(6000):
         evidence.add(report("s2", k))
@@ -102,7 +102,7 @@
 
 
 def test_nothing_heard_is_unknown() -> None:
-    assert {j.verdict for j in judge().values()} == {ZoneHealth.UNKNOWN}
+    assert {j.health for j in judge().values()} == {ZoneHealth.UNKNOWN}
 
 
 # ---- Plans ------------------------------------------------------------------------------------------------
@@ -124,9 +124,14 @@
     judged = {**dict.fromkeys(NAMES, FINE), "n1": GONE}
     assert planner.next(0.0, judged, Plan()) is None  # not on the first word
     plan = after(planner, judged, Plan(), 500.0, 1500.0)
-    assert plan.number == 1 and plan.of("n1").state is ZoneState.EMPTIED
-    assert list(plan.of("n1").to) == ["n2", "s1"]  # 400 kB/s are free there below the mark, the rest goes on
-    assert plan.of("n1").to["n2"] == pytest.approx(0.8) and plan.of("n1").away == pytest.approx(1.0)
+    assert plan.number == 1 and plan.for_zone("n1").state is ZoneState.EMPTIED
+    assert list(plan.for_zone("n1").to) == [
+        "n2",
+        "s1",
+    ]  # 400 kB/s are free there below the mark, the rest goes on
+    assert plan.for_zone("n1").to["n2"] == pytest.approx(0.8) and plan.for_zone("n1").away == pytest.approx(
+        1.0
+    )
     assert planner.next(5000.0, judged, plan) is None  # nothing new is no plan
 
 
@@ -134,19 +139,19 @@
     planner = Planner(dict(ZONES))
     weak = ZoneAssessment(ZoneHealth.WEAK, 0.5, 1000.0, 500.0, 900.0)
     plan = after(planner, {**dict.fromkeys(NAMES, FINE), "s1": weak}, Plan(), 0.0, 2000.0)
-    assert plan.of("s1").state is ZoneState.LEANING and plan.of("s1").away == pytest.approx(0.5)
-    assert list(plan.of("s1").to) == ["s2", "n1"]
+    assert plan.for_zone("s1").state is ZoneState.LEANING and plan.for_zone("s1").away == pytest.approx(0.5)
+    assert list(plan.for_zone("s1").to) == ["s2", "n1"]
 
 
 def test_a_zone_that_is_cut_off_serves_its_own_and_nobody_else_s() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
-    plan = after(planner, {**fine, "n1": replace(FINE, verdict=ZoneHealth.CUT)}, Plan(), 0.0, 2000.0)
-    assert plan.of("n1") == ZonePlan(ZoneState.ALONE, 0.0, {})
+    plan = after(planner, {**fine, "n1": replace(FINE, health=ZoneHealth.CUT)}, Plan(), 0.0, 2000.0)
+    assert plan.for_zone("n1") == ZonePlan(ZoneState.ALONE, 0.0, {})
     assert shares_of(plan, "n1", NAMES)[0] == 1.0  # for its own directors
     elsewhere = shares_of(plan, "s1", NAMES)
     assert elsewhere[0] == 0.0 and elsewhere[NAMES.index("s1")] == 1.0 and min(elsewhere[1:]) > 0
-    assert after(planner, fine, plan, 3000.0, STEADY_MS + 1000.0).of("n1").state is ZoneState.NEAR
+    assert after(planner, fine, plan, 3000.0, STEADY_MS + 1000.0).for_zone("n1").state is ZoneState.NEAR
 
 
 def test_shares_leave_emptied_zones_and_hardly_touch_the_rest() -> None:
@@ -164,7 +169,11 @@
     plan = after(
         planner, {**dict.fromkeys(NAMES, busy), "n1": replace(GONE, demand=950.0)}, Plan(), 0.0, 3000.0
     )
-    assert plan.of("n1").state is ZoneState.EMPTIED and plan.of("n1").away == 0.0 and not plan.of("n1").to
+    assert (
+        plan.for_zone("n1").state is ZoneState.EMPTIED
+        and plan.for_zone("n1").away == 0.0
+        and not plan.for_zone("n1").to
+    )
 
 
 def test_the_last_good_zone_is_never_emptied() -> None:
@@ -173,8 +182,8 @@
     assert plan == Plan()  # if nobody reaches anything, the evidence is what is broken
     judged = {**dict.fromkeys(NAMES, GONE), "w2": FINE}
     plan = after(planner, judged, plan, 30_000.0, 20_000.0)
-    assert plan.of("w2").state is ZoneState.NEAR
-    assert sum(plan.of(z).state is ZoneState.EMPTIED for z in NAMES) == 5
+    assert plan.for_zone("w2").state is ZoneState.NEAR
+    assert sum(plan.for_zone(z).state is ZoneState.EMPTIED for z in NAMES) == 5
 
 
 def test_a_zone_returns_by_steps_after_it_was_steady() -> None:
@@ -183,17 +192,17 @@
     plan = after(planner, {**fine, "n1": GONE}, Plan(), 0.0, 2000.0)
     shares = []
     now = 3000.0
-    while plan.of("n1").state is not ZoneState.NEAR:
+    while plan.for_zone("n1").state is not ZoneState.NEAR:
         found = planner.next(now, fine, plan)
         if found is not None:
-            shares.append((now, found.of("n1").away))
+            shares.append((now, found.for_zone("n1").away))
             plan = found
         now += 250.0
         assert now < 60_000.0
     assert shares[0][0] >= 3000.0 + STEADY_MS
-    assert all(b >= a + STEP_MS - 1 for (a, _), (b, _) in itertools.pairwise(shares))
+    assert all(b >= a + RETURN_STEP_MS - 1 for (a, _), (b, _) in itertools.pairwise(shares))
     steps = [1.0, *(share for _, share in shares)]
-    assert all(0 <= a - b <= STEP + 1e-6 for a, b in itertools.pairwise(steps))
+    assert all(0 <= a - b <= RETURN_STEP + 1e-6 for a, b in itertools.pairwise(steps))
 
 
 def test_a_zone_that_flaps_every_three_seconds_stays_away() -> None:
@@ -204,7 +213,7 @@
         now = turn * 500.0
         judged = {**fine, "n1": GONE} if (turn // 6) % 2 else fine
         plan = planner.next(now, judged, plan) or plan
-        states.append(plan.of("n1").state)
+        states.append(plan.for_zone("n1").state)
     left = sum(a is not ZoneState.EMPTIED and b is ZoneState.EMPTIED for a, b in itertools.pairwise(states))
     assert left == 1  # in two minutes: it never comes back, for it is never steady
 
@@ -216,7 +225,7 @@
     for _ in range(4):
         plan = after(planner, {**fine, "n1": GONE}, plan, now, 2000.0)
         begin = now = now + 2500.0
-        while plan.of("n1").state is ZoneState.EMPTIED:
+        while plan.for_zone("n1").state is ZoneState.EMPTIED:
             plan = planner.next(now, fine, plan) or plan
             now += 250.0
         waits.append(now - begin)
@@ -228,17 +237,17 @@
     fine = dict.fromkeys(NAMES, FINE)
     planner.order(0.0, "s2", OperatorOrder.EMPTY)
     plan = after(planner, fine, Plan(), 0.0, 1000.0)
-    assert plan.of("s2").state is ZoneState.EMPTIED and plan.of("s2").away == pytest.approx(1.0)
+    assert plan.for_zone("s2").state is ZoneState.EMPTIED and plan.for_zone("s2").away == pytest.approx(1.0)
     planner.order(2000.0, "s2", OperatorOrder.HOLD)
     assert after(planner, fine, plan, 2000.0, 30_000.0) == plan
     planner.order(40_000.0, "s2", OperatorOrder.RETURN)
     plan = after(planner, {**fine, "s2": GONE}, plan, 40_000.0, 30_000.0)
-    assert plan.of("s2").state is ZoneState.NEAR  # against the evidence
+    assert plan.for_zone("s2").state is ZoneState.NEAR  # against the evidence
     planner.order(80_000.0, "s2", OperatorOrder.EMPTY)
     plan = after(planner, fine, plan, 80_000.0, 2000.0)
     forgotten = 80_000.0 + 86_400_000.0
     plan = after(planner, fine, plan, forgotten, 60_000.0)
-    assert plan.of("s2").state is ZoneState.NEAR
+    assert plan.for_zone("s2").state is ZoneState.NEAR
     with pytest.raises(KeyError):
         planner.order(0.0, "x", OperatorOrder.EMPTY)
 
@@ -270,15 +279,15 @@
             continue
         assert made.number == plan.number + 1
         for zone in NAMES:
-            part = made.of(zone)
+            part = made.for_zone(zone)
             assert part.away <= 1.0 + 1e-6 and zone not in part.to
             if part.state is not ZoneState.EMPTIED or judged[zone].demand > 0:
                 assert sum(part.to.values()) == pytest.approx(part.away, abs=1e-4)
-            given = sum(made.of(o).to.get(zone, 0.0) * judged[o].demand for o in NAMES)
+            given = sum(made.for_zone(o).to.get(zone, 0.0) * judged[o].demand for o in NAMES)
             if given > 0.01:
-                assert judged[zone].verdict is ZoneHealth.FINE
-                assert given + judged[zone].demand <= judged[zone].gives * MARK * (1 + 1e-4) + 0.01
-        assert any(made.of(zone).state is not ZoneState.EMPTIED for zone in NAMES)
+                assert judged[zone].health is ZoneHealth.FINE
+                assert given + judged[zone].demand <= judged[zone].gives * MAX_FILL * (1 + 1e-4) + 0.01
+        assert any(made.for_zone(zone).state is not ZoneState.EMPTIED for zone in NAMES)
         assert read_plan(write_plan(made)) == made
         plan = made
 
--- a/tests/zones_world.py
+++ b/tests/zones_world.py
@@ -174,7 +174,7 @@
 
     def all_follow(self, zone: str, state: object, without: set[str] | None = None) -> bool:
         left = [n for n in self.up if self.zone_of[n] not in (without or set())]
-        return all(self.followed[name].of(zone).state is state for name in left)
+        return all(self.followed[name].for_zone(zone).state is state for name in left)
 
 
 def anything(seed: int, **more: type) -> Fleet:
@@ -204,6 +204,10 @@
     """Whether two plans had one number, or a plan emptied every zone."""
     for texts in fleet.by_number.values():
         plan = read_plan(next(iter(texts)))
-        if len(texts) > 1 or plan is None or all(plan.of(z).state is ZoneState.EMPTIED for z in fleet.zones):
+        if (
+            len(texts) > 1
+            or plan is None
+            or all(plan.for_zone(z).state is ZoneState.EMPTIED for z in fleet.zones)
+        ):
             return True
     return False
