--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -221,7 +221,7 @@
     Finding(
         Kind.WORK,
         "foxlift/logic.py",
-        "`_shed`, `_cheapest_down`",
+        "`_lower_sessions`, `_cheapest_to_lower`",
         "a full link or uplink: all own sessions there are searched again for each step down, so the time "
         "grows with their square",
         _scan("report of a full link", DATA_PATH, "sessions on the link"),
