--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -25,6 +25,9 @@
     LEFT       SessionEnded               SPENT      paid; free: (unknown)
     SPENT      Requested                  SPENT      SESSION_OVER if it played, else MAY_HAVE_RUN
 
+ASKED: the module has yet to answer. LEFT: all clients disconnected before it did. SPENT: a paid token that
+may open no further session.
+
 Where directors take over each other's sessions (off by default):
 
     ASKED      OwnedElsewhere             (unknown)  another director owns it: forward each waiting request
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -74,15 +74,15 @@
 
 @dataclass
 class FailTimes:
-    """Selects the first `left` events of a kind."""
+    """Selects the first `remaining` events of a kind."""
 
     kind: type
-    left: int = 1
+    remaining: int = 1
 
     def __call__(self, event: fl.Event) -> bool:
-        if not isinstance(event, self.kind) or not self.left:
+        if not isinstance(event, self.kind) or not self.remaining:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
 
 
@@ -160,7 +160,7 @@
     world.tell(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
     world.viewer(start_line(name(6), klass))
     start_all(world)
-    assert not fails.left  # the fault occurred
+    assert not fails.remaining  # the fault occurred
     assert answers(world, name(7)) in ([("STARTED", None)], [("FINISH", REFUSED)])
     assert [a for a in answers(world, name(2)) if a[0] in ("STARTED", "FINISH")] in (
         [("STARTED", None)],
