--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -16,7 +16,7 @@
     PLAYING    Parked                     PARKED     paid: the viewer paused for long, the box freed its slot
     PLAYING    Parked                     (unknown)  free: the next request opens another session
     PARKED     Requested                  ASKED      open a session that resumes the parked set-up
-    PARKED     Requested, too late        SPENT      SESSION_OVER: the box keeps the set-up no longer
+    PARKED     Requested, too late        SPENT      SESSION_OVER: the box no longer keeps the set-up
     ASKED      Refused, Failed, resuming  PARKED     answer all waiting requests; resuming may be tried again
     ASKED      ParkedSetUpGone            SPENT      SESSION_OVER: the box no longer has the set-up
     LEFT       SessionEnded, resuming     PARKED
--- a/tests/many.py
+++ b/tests/many.py
@@ -81,7 +81,7 @@
     def said(self, name: str, event: str) -> list[dict[str, Any]]:
         return [line for line in self.log(name) if line.get("event") == event]
 
-    async def know_each_other(self) -> None:
+    async def wait_for_peers(self) -> None:
         """Wait until each director counts all others as alive and trusts its registers."""
         names = list(self.directors)
 
@@ -229,19 +229,19 @@
                 text = text.replace("(zone east)", f"(zone {zones[k % len(zones)]})")
                 text = text.replace("(zones east west)", f"(zones {' '.join(zones)})")
             text = text.replace("(kind-slots 200)", f"(kind-slots {places})")
-            said = f"(makers {' '.join(makers)})" if makers else ""
-            known = (
-                f"(peers (period-ms {period_ms}) (grace-ms {grace_ms}) (others {others}) {said})"
+            planners_text = f"(makers {' '.join(makers)})" if makers else ""
+            peers_text = (
+                f"(peers (period-ms {period_ms}) (grace-ms {grace_ms}) (others {others}) {planners_text})"
                 if peers
                 else ""
             )
-            text = text[:-1] + f"\n  {known} (seed {k}))\n"
+            text = text[:-1] + f"\n  {peers_text} (seed {k}))\n"
             (folder / f"{name}.sexp").write_text(edit(text))
             many.directors[name] = Child(name, folder, "serve", "--log-format", "json", f"{name}.sexp")
         try:
             await asyncio.gather(*(many.start(name) for name in names))
             if peers:
-                await many.know_each_other()
+                await many.wait_for_peers()
             await test(many)
         finally:
             for child in many.directors.values():
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -241,7 +241,7 @@
     attempts.handle(3.0, at.Send(2, 0, 7, 2, False, 1000.0))
     assert (attempts.set_up_id(1, 0), attempts.set_up_id(2, 0)) == ("d0.a-1-0", "d0.b-2-0")
     assert attempts.attempt_of("d0.a-1-0") == (1, 0) and attempts.is_known("d0.a-1-0")
-    assert attempts.attempt_of("d0.a-9-0") is None  # of the earlier run, but not known
+    assert attempts.attempt_of("d0.a-9-0") is None  # of the earlier run, and it never played
     assert attempts.handle(4.0, at.EndedAtBox(1, 0, fl.Outcome.OK))
     assert attempts.attempt_of("d0.a-1-0") is None and len(attempts._set_up_ids) == 0
 
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -179,12 +179,12 @@
         module = director(nodes=1, uplink_kb=0.0, rung_change_s=change_s)
         play(module, 1.0, ask(1))
         note(module, 1000.0, 1, 0, fl.NoteKind.LINK, 1.5)
-        seen = []
+        raised_at = []
         for step in range(1, 400):
             now = 1000.0 + 50.0 * step
             if step % 40 == 0:
-                seen += [now] * lowered(note(module, now, 1, 0, fl.NoteKind.LINK, 0.1))
-        return seen
+                raised_at += [now] * lowered(note(module, now, 1, 0, fl.NoteKind.LINK, 0.1))
+        return raised_at
 
     assert raises(0.5) and min(raises(0.5)) > 5000.0
     assert raises(5.0) == []
@@ -204,7 +204,7 @@
 
 
 def test_sessions_on_unreported_nodes_start_lower_if_a_director_has_few_sessions_per_node() -> None:
-    """With hundreds of directors most sessions start on unreported nodes, and a too high rung costs most."""
+    """With hundreds of directors most sessions start on unreported nodes, and too high a rung costs most."""
     rungs = {}
     for nodes in (4, 400):
         module = Director(replace(SETTINGS, cells=nodes, uplink_kb=0.0), seed=1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,12 +26,12 @@
 
 
 def wake_until(module: Director, start: float, end: float) -> list[tuple[float, fl.Action]]:
-    seen: list[tuple[float, fl.Action]] = []
+    woken: list[tuple[float, fl.Action]] = []
     now = start
     while now < end:
         now += 50.0
-        seen += [(now, action) for action in module.handle(now, fl.Wake(0))]
-    return seen
+        woken += [(now, action) for action in module.handle(now, fl.Wake(0))]
+    return woken
 
 
 @pytest.mark.parametrize("outcome", UNRUN)
@@ -137,8 +137,8 @@
         actions = rng.choice(modules).handle(now, ask(k))
         sends += [now for a in only(actions, fl.SetUp) if now > 60000.0 and a.node == 0]
     budget = SETTINGS.cold_multiple * SETTINGS.cold_from * 30 / SETTINGS.warm_up_ms * SETTINGS.cold_window_ms
-    most = max(sum(at - SETTINGS.cold_window_ms < t <= at for t in sends) for at in sends)
-    assert len(sends) > 0 and most <= budget + 1
+    highest = max(sum(at - SETTINGS.cold_window_ms < t <= at for t in sends) for at in sends)
+    assert len(sends) > 0 and highest <= budget + 1
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
