--- a/foxlift/decide/token_sessions.py
+++ b/foxlift/decide/token_sessions.py
@@ -16,7 +16,7 @@
     PLAYING    Parked                     PARKED     paid: the viewer paused for long, the box freed its slot
     PLAYING    Parked                     (unknown)  free: the next request opens another session
     PARKED     Requested                  ASKED      open a session that resumes the parked set-up
-    PARKED     Requested, too late        SPENT      SESSION_OVER: the box keeps the set-up no longer
+    PARKED     Requested, too late        SPENT      SESSION_OVER: the box no longer keeps the set-up
     ASKED      Refused, Failed, resuming  PARKED     answer all waiting requests; resuming may be tried again
     ASKED      ParkedSetUpGone            SPENT      SESSION_OVER: the box no longer has the set-up
     LEFT       SessionEnded, resuming     PARKED
@@ -25,6 +25,9 @@
     LEFT       SessionEnded               SPENT      paid; free: (unknown)
     SPENT      Requested                  SPENT      SESSION_OVER if it played, else MAY_HAVE_RUN
 
+ASKED: the module has yet to answer. LEFT: all clients disconnected before it did. SPENT: a paid token that
+may open no further session.
+
 Where directors take over each other's sessions (off by default):
 
     ASKED      OwnedElsewhere             (unknown)  another director owns it: forward each waiting request
