--- a/tests/control_processes.py
+++ b/tests/control_processes.py
@@ -1,4 +1,4 @@
-"""Control servers and directors as processes of the program, with a relay for faults on each link."""
+"""Control servers and directors as real processes, with a proxy on each link that can cut it."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 RELAYS = ("r0", "r1")
 DIRECTORS = ("d0", "d1")
 CUT = Terms(State.CUT)
-NOBODY = 0
-"""The target of a tap whose process is gone: its port may be another process's by now."""
+NO_TARGET = 0
+"""The target of a tap whose process has ended: its port may belong to another process by now."""
 
 
 @dataclass
 class ControlledFleet:
-    """`links`: from a process to a control server."""
+    """The processes of a test. `links`: from a process to a control server."""
 
     folder: Path
     loop: asyncio.AbstractEventLoop
@@ -56,7 +56,7 @@
         await asyncio.gather(*map(one, names))
 
     async def kill(self, *names: str) -> None:
-        """kill -9, and wait until they are gone."""
+        """Kill processes with SIGKILL and wait until they have ended."""
         for name in names:
             self.processes[name].kill()
         for name in names:
@@ -65,37 +65,37 @@
             await process.wait()
             for (_, to), tap in self.links.items():
                 if to == name:
-                    tap.target = NOBODY
+                    tap.target = NO_TARGET
 
-    async def until(self, true: Callable[[], Awaitable[object]], seconds: float = 20.0) -> None:
-        """Ask until something is so."""
+    async def until(self, condition: Callable[[], Awaitable[object]], seconds: float = 20.0) -> None:
+        """Poll until the condition holds; fails after `seconds`."""
         end = self.loop.time() + seconds
-        while not await true():
-            assert self.loop.time() < end, "it did not become so"
+        while not await condition():
+            assert self.loop.time() < end, f"condition not met within {seconds} s"
             await asyncio.sleep(0.05)
 
     def cut(self, a: str, b: str) -> None:
-        """Nothing passes between two processes."""
+        """Cut the links between two processes."""
         for pair in ((a, b), (b, a)):
             if pair in self.links:
                 self.links[pair].change(CUT, CUT)
 
-    def mend(self) -> None:
-        """Everything passes again."""
+    def restore_links(self) -> None:
+        """Restore all links."""
         for tap in self.links.values():
             tap.mend()
 
     def log(self, name: str) -> list[dict[str, Any]]:
-        """What a process has logged."""
+        """The log lines of a process."""
         text = (self.folder / f"{name}.log").read_text()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
-    def said(self, name: str, event: str) -> list[dict[str, Any]]:
-        """Its lines of one event."""
+    def log_lines(self, name: str, event: str) -> list[dict[str, Any]]:
+        """The log lines of a process with one event."""
         return [line for line in self.log(name) if line.get("event") == event]
 
     async def foxlift(self, *arguments: str) -> tuple[int, str, str]:
-        """Run the program's command as an operator does: exit code, output, errors."""
+        """Run the command line; returns exit code, standard output and standard error."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -109,42 +109,42 @@
         assert process.returncode is not None
         return process.returncode, out.decode(), errors.decode()
 
-    async def put(self, change: dict[str, Any], member: str = "c0", **more: str) -> tuple[int, str, str]:
-        """Put a change in through a member."""
+    async def put(self, change: dict[str, Any], member: str = "c0", **options: str) -> tuple[int, str, str]:
+        """Request a change at a member."""
         (self.folder / "change.json").write_text(json.dumps(change))
-        options = [part for name, value in more.items() for part in (f"--{name}", value)]
-        return await self.foxlift("configuration", "put", "change.json", "--at", self.url(member), *options)
+        arguments = [part for name, value in options.items() for part in (f"--{name}", value)]
+        return await self.foxlift("configuration", "put", "change.json", "--at", self.url(member), *arguments)
 
     def url(self, name: str) -> str:
-        """Where a process listens."""
+        """The URL of a process."""
         return f"http://127.0.0.1:{self.ports[name]}"
 
     async def status(self, name: str) -> dict[str, Any]:
-        """What a control server tells of itself."""
+        """A control server's status."""
         reply = await ask(self.ports[name], "/config/status")
         assert reply.status == 200
         return dict(json.loads(reply.body))
 
     async def manifest(self, name: str, title: str, claim: str) -> Reply:
-        """Ask a director for a title."""
+        """Request a title's manifest from a director."""
         token = self.issuer.issue(
             SessionToken(claim, "viewer", title, "briefing", "t", int(time.time()) + 3600)
         )
         return await ask(self.ports[name], f"/dash/{title}/manifest.mpd?token={token}")
 
-    async def plays(self, title: str, *names: str) -> bool:
-        """Whether directors offer a title."""
+    async def offers(self, title: str, *names: str) -> bool:
+        """Whether all these directors offer a title."""
         replies = [await self.manifest(n, title, f"{title}-{n}-{self.loop.time()}") for n in names]
         return all(reply.status == 200 for reply in replies)
 
 
 def titles(*names: str, manifest: str = "t1.mpd") -> dict[str, Any]:
-    """A change that sets titles."""
+    """A change file that sets titles."""
     return {f"titles/{name}": {"first-cell": 0, "holders": 2, "manifest": manifest} for name in names}
 
 
 def run(folder: Path, test: Callable[[ControlledFleet], Awaitable[None]]) -> None:
-    """Run a test in a world of its own: three members, two relays, two directors, two stand-in servers."""
+    """Run a test with three members, two relays, two directors and two stand-in servers."""
 
     async def main() -> None:
         world = await _make(folder)
@@ -156,7 +156,7 @@
             await _end(world)
         for name in world.processes:
             assert "Traceback" not in (folder / f"{name}.log").read_text()
-            assert not world.said(name, "exception")
+            assert not world.log_lines(name, "exception")
 
     uvloop.run(main())
 
@@ -221,7 +221,7 @@
 
 
 def _port(world: ControlledFleet, name: str, to: str) -> int:
-    return 1 if name == to else world.links[name, to].port  # nobody calls itself
+    return 1 if name == to else world.links[name, to].port  # a process does not call itself
 
 
 def _write_director(world: ControlledFleet, number: int, name: str) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and a short rehearsed day in processes of their own."""
+"""The command line, and a short rehearsal with real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return CliRunner().invoke(main, [str(argument) for argument in arguments])
 
 
-def files(folder: Path) -> Path:
+def write_settings(folder: Path) -> Path:
     from samples import SOURCE
     from sockets import CONFIG
 
@@ -42,24 +42,24 @@
         assert "foxlift " + " ".join(command) in result.output
 
 
-def test_check_config_says_what_is_in_order_or_where_it_is_not(tmp_path: Path) -> None:
-    path = files(tmp_path)
+def test_check_config_reports_a_valid_file_or_the_position_of_an_error(tmp_path: Path) -> None:
+    path = write_settings(tmp_path)
     result = call("check-config", path)
     assert result.exit_code == 0
     assert "director d0, 2 classes, 1 titles (catalogue version 4)" in result.output
-    good = path.read_text()
-    path.write_text(good.rstrip()[:-1] + ' (ledger (tariff "none.sexp")))')
+    valid_text = path.read_text()
+    path.write_text(valid_text.rstrip()[:-1] + ' (ledger (tariff "none.sexp")))')
     assert "none.sexp:1:1: cannot be read" in call("check-config", path).output
-    path.write_text(good.replace("(number 0)", "(number zero)"))
-    broken = call("check-config", path)
-    assert broken.exit_code == 3
-    assert "director.sexp:2:" in broken.output
+    path.write_text(valid_text.replace("(number 0)", "(number zero)"))
+    invalid = call("check-config", path)
+    assert invalid.exit_code == 3
+    assert "director.sexp:2:" in invalid.output
     assert call("serve", path).exit_code == 3
     assert call("check-config", tmp_path / "none").exit_code == 3
 
 
 def test_a_token_is_issued_with_the_directors_key(tmp_path: Path) -> None:
-    path = files(tmp_path)
+    path = write_settings(tmp_path)
     result = call(
         "token", path, "--title", "t1", "--class", "graded", "--tenant", "t", "--id", "x", "--best", 1
     )
@@ -85,7 +85,7 @@
     assert load_scenario(path) == built_in("short-day")
 
 
-def test_who_comes_is_drawn_from_the_seed_alone() -> None:
+def test_viewers_depend_only_on_the_seed() -> None:
     day = built_in("bad-day")
     first, again, other = (draw_viewers(day, seed) for seed in (1, 1, 2))
     assert first == again
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings files: what is read, and that every error names its place."""
+"""Settings files: conversion, and errors that name their position."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from foxlift import interface as fl
 from foxlift.config import ConfigError, DirectorConfig, bind, load_director, module_settings, read_forms
 
-GOOD = """
+VALID = """
 ; a director of three
 (director (name "d0") (number 0) (directors 3) (zone west) (state "state")
   (fleet (ladder-kb 200 500 1500) (ladder-worth 0.25 0.6 1.0)
@@ -24,9 +24,9 @@
 """
 
 
-def test_a_good_file_becomes_the_modules_settings(tmp_path: Path) -> None:
+def test_a_valid_file_is_converted_to_the_modules_settings(tmp_path: Path) -> None:
     path = tmp_path / "director.sexp"
-    path.write_text(GOOD)
+    path.write_text(VALID)
     config = load_director(path)
     assert config.state == str(tmp_path / "state")
     settings = module_settings(config)
@@ -53,9 +53,9 @@
     ],
 )
 def test_an_error_names_line_and_key(old: str, new: str, line: int, words: str) -> None:
-    assert old in GOOD
+    assert old in VALID
     with pytest.raises(ConfigError) as caught:
-        bind(read_forms(GOOD.replace(old, new, 1), "d.sexp"), DirectorConfig, "director")
+        bind(read_forms(VALID.replace(old, new, 1), "d.sexp"), DirectorConfig, "director")
     assert caught.value.position.line == line
     assert words in str(caught.value)
 
@@ -74,7 +74,7 @@
         ("(director 'x)", "quoting"),
     ],
 )
-def test_what_is_no_settings_file_is_refused_with_its_place(text: str, words: str) -> None:
+def test_an_invalid_text_is_refused_with_the_position(text: str, words: str) -> None:
     with pytest.raises(ConfigError) as caught:
         bind(read_forms(text, "d.sexp"), DirectorConfig, "director")
     assert words in str(caught.value)
@@ -86,18 +86,18 @@
 
 
 @given(st.text(alphabet=st.sampled_from("()\"\\; abc\n10.t'[]{}x-"), max_size=60))
-def test_any_text_is_read_or_refused_with_a_place(text: str) -> None:
+def test_any_invalid_text_raises_an_error_with_a_position(text: str) -> None:
     try:
         bind(read_forms(text, "f"), DirectorConfig, "director")
     except ConfigError as error:
         assert str(error).startswith("f:")
     else:
-        raise AssertionError("no such text is a whole director file")
+        raise AssertionError("random text was accepted as a director's settings")
 
 
 @given(st.data())
-def test_a_cut_file_is_never_taken_for_a_whole_one(data: st.DataObject) -> None:
-    end = len(GOOD.rstrip())
+def test_a_truncated_file_is_refused(data: st.DataObject) -> None:
+    end = len(VALID.rstrip())
     cut = data.draw(st.integers(0, end - 1))
     with pytest.raises(ConfigError):
-        bind(read_forms(GOOD[:cut], "f"), DirectorConfig, "director")
+        bind(read_forms(VALID[:cut], "f"), DirectorConfig, "director")
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -16,7 +16,7 @@
 from memory import MemoryFiles
 from sockets import World, ask, base_of, run
 from terms import TERMS
-from test_cli import files as cli_files
+from test_cli import write_settings as cli_files
 
 from foxlift.cli.main import main
 from foxlift.director.daemon import Daemon
--- a/tests/test_renditions.py
+++ b/tests/test_renditions.py
@@ -200,7 +200,7 @@
 
 def test_check_config_names_what_does_not_fit(tmp_path: Path) -> None:
     from click.testing import CliRunner
-    from test_cli import files as cli_files
+    from test_cli import write_settings as cli_files
 
     from foxlift.cli.main import main
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Configuration carried to every director: the log, a director's agent, an acceptor, each by itself."""
+"""The parts of the configuration rollout one by one: log, agent, watch hub, acceptor and stores."""
 
 from __future__ import annotations
 
@@ -56,10 +56,10 @@
 
 
 # ---- The log ----------------------------------------------------------------------------------------------
-def test_an_entry_that_does_not_follow_or_has_another_digest_is_not_taken() -> None:
+def test_an_entry_that_is_not_the_next_one_or_has_a_wrong_digest_is_rejected() -> None:
     log = ConfigLog()
     first = put(log, a="1")
-    assert not log.append(first)  # once more: nothing happens
+    assert not log.append(first)  # repeated: no effect
     for version, digest, fault in ((3, "0" * 32, "does not follow"), (2, "0" * 32, "digest differs")):
         with pytest.raises(EntryError, match=fault):
             log.append(Entry(version, "c0", "x", Change({"titles/b": "2"}), digest=digest))
@@ -69,7 +69,7 @@
     assert log.head == 1 and log.content.values == {"titles/a": "1"}
 
 
-def test_the_digest_is_that_of_the_content_whatever_the_way_to_it() -> None:
+def test_the_digest_depends_only_on_the_content() -> None:
     one, other = Content(), Content()
     one.apply(Change({"titles/a": "1", "titles/b": "2"}))
     other.apply(Change({"titles/b": "3"}))
@@ -82,7 +82,7 @@
     assert one.digest == other.digest and one.values == other.values
 
 
-def test_a_revert_gives_back_what_was_but_not_what_a_later_version_has_set() -> None:
+def test_a_revert_restores_only_keys_that_no_later_version_has_written() -> None:
     log = ConfigLog()
     put(log, a="1", b="1")
     bad = put(log, a="2", b="2", c="2")
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_revert_does_not_bring_back_what_was_reverted_before() -> None:
+def test_a_revert_does_not_restore_a_value_that_is_reverted_itself() -> None:
     log = ConfigLog()
     put(log, a="1")
     first = put(log, a="bad")
@@ -107,17 +107,17 @@
     assert log.content.values == {"titles/a": "1"}
 
 
-def test_a_revert_whose_version_is_no_longer_kept_has_the_word_itself() -> None:
+def test_a_revert_counts_as_the_last_writer_once_the_reverted_version_is_not_kept() -> None:
     log = ConfigLog(max_entries=2)
     bad = put(log, a="bad")
     log.append(entry_after(log, log.revert_change(bad.version), released=2, reverts=bad.version))
     second = put(log, a="worse")
     assert log.base == 1 and log.last_writer("titles/a", 2) == 2
     revert(log, second.version)
-    assert log.content.values == {}  # and not what was taken back before
+    assert log.content.values == {}  # and not the value that was reverted
 
 
-def test_what_cannot_be_reverted_says_why() -> None:
+def test_a_revert_that_is_not_possible_is_refused_with_the_reason() -> None:
     log = ConfigLog(max_entries=1)
     put(log, released=True, a="1")
     put(log, released=True, a="2")
@@ -132,7 +132,7 @@
         other.revert_change(2)
 
 
-def test_a_bad_change_and_its_revert_are_one_step() -> None:
+def test_a_reverted_change_and_its_revert_are_one_step() -> None:
     log = ConfigLog()
     put(log, a="1")
     bad = put(log, b="bad")
@@ -155,7 +155,7 @@
 
 
 @given(st.lists(st.tuples(changes, st.integers(0, 5)), min_size=1, max_size=60), st.data())
-def test_steps_and_snapshots_lead_to_the_content_from_wherever_one_begins(
+def test_steps_and_snapshots_yield_the_content_from_any_version(
     made: list[tuple[Change, int]], data: st.DataObject
 ) -> None:
     log, contents = ConfigLog(max_entries=20), [dict[str, str]()]
@@ -186,7 +186,7 @@
     assert [page.last for page in pages] == [False] * (len(pages) - 1) + [True]
 
 
-def test_many_versions_are_told_together_and_the_last_one_by_one() -> None:
+def test_old_versions_are_merged_into_steps_and_the_latest_are_separate_steps() -> None:
     log = ConfigLog()
     for number in range(200):
         put(log, False, **{f"t{number}": "x" * 1000})
@@ -196,7 +196,7 @@
     assert len(steps) < MAX_SINGLE_STEPS + 6
 
 
-# ---- A change as it is put in -----------------------------------------------------------------------------
+# ---- Checks of a change -----------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("change", "fault"),
     [
@@ -206,7 +206,7 @@
         (Change({f"titles/t{k}": json.dumps("x" * 500) for k in range(50)}), "bytes; 8000 are allowed"),
     ],
 )
-def test_a_change_that_no_entry_may_hold_is_refused(change: Change, fault: str) -> None:
+def test_an_invalid_change_is_refused(change: Change, fault: str) -> None:
     with pytest.raises(EntryError, match=fault):
         check_change(change)
 
@@ -221,14 +221,14 @@
         ("titles/a", '{"first-cell":0,"holders":1,"manifest":"m","x":1}', r"titles/a: .*`x`"),
     ],
 )
-def test_a_value_that_has_not_its_kinds_form_is_refused_with_key_and_field(
+def test_a_value_that_does_not_match_its_schema_is_refused_with_key_and_field(
     key: str, value: str, fault: str
 ) -> None:
     with pytest.raises(EntryError, match=fault):
         check_values(Change({key: value}))
 
 
-def test_a_title_is_set_or_withdrawn() -> None:
+def test_a_title_value_and_null_are_valid() -> None:
     check_values(Change({"titles/a": '{"first-cell":0,"holders":1,"manifest":"m.mpd"}', "titles/b": "null"}))
 
 
@@ -238,108 +238,114 @@
     return Problem(bad[0], "not usable") if bad else None
 
 
-class Driven:
-    """An agent and the last watch that it has sent."""
+class DrivenAgent:
+    """Drives an agent; keeps its results and the last watch that it sent."""
 
     def __init__(self, version: int = 0, values: dict[str, str] | None = None) -> None:
         self.agent = Agent("d0", 1, ("r0", "r1"), 1, refuse_bad, version, Content(values or {}))
         self.timers: list[watcher.StartTimer] = []
-        self.done: list[agent.Action] = []
-        self.out: agent.SendWatch | None = None
+        self.results: list[agent.Action] = []
+        self.last_watch: agent.SendWatch | None = None
         self._take(self.agent.start())
 
     def _take(self, actions: list[agent.Action]) -> list[agent.Action]:
-        self.done = [a for a in actions if isinstance(a, agent.Apply | agent.Persist | agent.WriteLog)]
+        self.results = [a for a in actions if isinstance(a, agent.Apply | agent.Persist | agent.WriteLog)]
         self.timers = [a for a in actions if isinstance(a, watcher.StartTimer)]
         for action in actions:
             if isinstance(action, agent.SendWatch):
-                self.out = action
-        return self.done
+                self.last_watch = action
+        return self.results
 
     @property
     def watch(self) -> DirectorWatch:
-        assert self.out is not None
-        return self.out.watch
+        assert self.last_watch is not None
+        return self.last_watch.watch
 
     def answer(self, answer: Steps | Page | Entries | None) -> list[agent.Action]:
-        assert self.out is not None
-        return self._take(self.agent.handle(agent.WatchAnswered(self.out.watch_id, answer)))
+        assert self.last_watch is not None
+        return self._take(self.agent.handle(agent.WatchAnswered(self.last_watch.watch_id, answer)))
 
     def wait(self) -> None:
         (due,) = (timer.event for timer in self.timers if isinstance(timer.event, watcher.PollDue))
         self._take(self.agent.handle(due))
 
 
-def lead(log: ConfigLog, after: int) -> Steps:
+def steps_after(log: ConfigLog, after: int) -> Steps:
     return Steps(log.head, log.steps(after, log.head))
 
 
-def test_a_change_is_put_in_force_kept_and_acknowledged() -> None:
-    log, driven = ConfigLog(), Driven()
-    assert driven.watch == DirectorWatch("d0", 1, 0)
+def test_a_change_is_applied_stored_and_acknowledged() -> None:
+    log, driver = ConfigLog(), DrivenAgent()
+    assert driver.watch == DirectorWatch("d0", 1, 0)
     put(log, a="1")
     change = Change({"titles/a": "1"})
-    assert driven.answer(lead(log, 0)) == [agent.Apply(1, change), agent.Persist(1, change, False)]
-    assert driven.watch == DirectorWatch("d0", 1, 1)  # at once
+    assert driver.answer(steps_after(log, 0)) == [agent.Apply(1, change), agent.Persist(1, change, False)]
+    assert driver.watch == DirectorWatch("d0", 1, 1)  # at once
 
 
-def test_a_refused_change_is_named_and_those_before_it_are_in_force() -> None:
-    log, driven = ConfigLog(), Driven()
+def test_a_refused_change_is_reported_and_the_changes_before_it_are_applied() -> None:
+    log, driver = ConfigLog(), DrivenAgent()
     put(log, a="1")
     put(log, b="bad")
     put(log, c="1")
-    done = driven.answer(lead(log, 0))
+    done = driver.answer(steps_after(log, 0))
     assert [type(action) for action in done] == [agent.Apply, agent.Persist, agent.WriteLog]
-    assert driven.agent.version == 1 and driven.agent.content.values == {"titles/a": "1"}
-    watch = driven.watch
+    assert driver.agent.version == 1 and driver.agent.content.values == {"titles/a": "1"}
+    watch = driver.watch
     assert watch.refused is not None and watch.refused.version == 2 and watch.offered == 3
     assert (watch.refused.key, watch.refused.cause) == ("titles/b", "not usable")
     revert(log, 2)
-    driven.answer(lead(log, 1))
-    assert driven.agent.version == 4 and driven.watch.refused is None
+    driver.answer(steps_after(log, 1))
+    assert driver.agent.version == 4 and driver.watch.refused is None
 
 
-def test_steps_that_come_twice_out_of_order_or_from_elsewhere_change_nothing() -> None:
-    log, driven = ConfigLog(), Driven()
+def test_steps_that_are_repeated_reordered_or_not_the_next_ones_change_nothing() -> None:
+    log, driver = ConfigLog(), DrivenAgent()
     put(log, a="1")
     put(log, a="2")
     put(log, b="1")
-    first, all_of_them = lead(log, 0), log.steps(0, 3)
-    driven.answer(first)
+    first, all_of_them = steps_after(log, 0), log.steps(0, 3)
+    driver.answer(first)
     for steps in (first.steps, (all_of_them[2], all_of_them[1]), (Step(7, 8, Change(), "0" * 32),)):
-        assert driven.answer(Steps(9, steps)) == []
-        assert driven.agent.version == 3 and driven.agent.content.values == log.content.values
-        before = driven.out
-        driven.wait()
-        assert driven.out is not None and before is not None and driven.out.source != before.source
+        assert driver.answer(Steps(9, steps)) == []
+        assert driver.agent.version == 3 and driver.agent.content.values == log.content.values
+        before = driver.last_watch
+        driver.wait()
+        assert (
+            driver.last_watch is not None and before is not None and driver.last_watch.source != before.source
+        )
 
 
-def test_a_relay_that_lies_behind_is_left_and_nothing_is_taken_back() -> None:
-    log, driven = ConfigLog(), Driven(5, {"titles/a": "1"})
+def test_the_agent_leaves_a_relay_that_is_behind_and_keeps_its_version() -> None:
+    log, driver = ConfigLog(), DrivenAgent(5, {"titles/a": "1"})
     put(log, a="0")
-    first = driven.out
-    assert driven.answer(Steps(1)) == []
-    driven.wait()
-    second = driven.out
-    assert driven.answer(Entries(9)) == []  # an answer for a relay
-    driven.wait()
+    first = driver.last_watch
+    assert driver.answer(Steps(1)) == []
+    driver.wait()
+    second = driver.last_watch
+    assert driver.answer(Entries(9)) == []  # a response meant for a relay
+    driver.wait()
     assert second is not None and first is not None and second.source != first.source
-    assert driven.out is not None and driven.out.source == first.source and driven.agent.version == 5
-    driven.answer(Steps(5, lead(log, 0).steps))
-    driven.wait()
-    assert driven.agent.version == 5 and driven.agent.content.values == {"titles/a": "1"}
+    assert (
+        driver.last_watch is not None
+        and driver.last_watch.source == first.source
+        and driver.agent.version == 5
+    )
+    driver.answer(Steps(5, steps_after(log, 0).steps))
+    driver.wait()
+    assert driver.agent.version == 5 and driver.agent.content.values == {"titles/a": "1"}
 
 
-def test_content_that_differs_is_built_again_and_put_in_force_as_one_difference() -> None:
-    log, driven = ConfigLog(), Driven(1, {"titles/a": "wrong", "titles/x": "1"})
+def test_content_with_a_wrong_digest_is_rebuilt_and_the_difference_applied_as_one_change() -> None:
+    log, driver = ConfigLog(), DrivenAgent(1, {"titles/a": "wrong", "titles/x": "1"})
     put(log, a="1")
     put(log, b="1")
-    assert [type(a) for a in driven.answer(lead(log, 1))] == [agent.WriteLog]
-    assert driven.watch.start == 0 and driven.watch.version == 1 and driven.agent.version == 1
-    apply, persist = driven.answer(lead(log, 0))
+    assert [type(a) for a in driver.answer(steps_after(log, 1))] == [agent.WriteLog]
+    assert driver.watch.start == 0 and driver.watch.version == 1 and driver.agent.version == 1
+    apply, persist = driver.answer(steps_after(log, 0))
     assert isinstance(apply, agent.Apply) and isinstance(persist, agent.Persist) and persist.is_full
     assert apply.change == Change({"titles/a": "1", "titles/b": "1"}, ("titles/x",))
-    assert driven.agent.version == 2 and driven.agent.content.digest == log.content.digest
+    assert driver.agent.version == 2 and driver.agent.content.digest == log.content.digest
 
 
 def big_log(count: int = 300) -> ConfigLog:
@@ -349,41 +355,41 @@
     return log
 
 
-def test_a_snapshot_is_gathered_page_by_page_and_must_have_its_digest() -> None:
-    log, driven = big_log(), Driven()
+def test_a_snapshot_is_read_page_by_page_and_checked_against_its_digest() -> None:
+    log, driver = big_log(), DrivenAgent()
     pages = log.snapshot()
     assert len(pages) > 3
     for page in pages[:-1]:
-        assert driven.answer(Page(page)) == [] and driven.agent.version == 0
-    assert (driven.watch.snapshot, driven.watch.page) == (pages[0].version, len(pages) - 1)
-    spoilt = msgspec.structs.replace(pages[-1], values={"titles/t0": "other"})
-    assert driven.answer(Page(spoilt)) == [] and driven.agent.version == 0
-    driven.wait()
+        assert driver.answer(Page(page)) == [] and driver.agent.version == 0
+    assert (driver.watch.snapshot, driver.watch.page) == (pages[0].version, len(pages) - 1)
+    damaged = msgspec.structs.replace(pages[-1], values={"titles/t0": "other"})
+    assert driver.answer(Page(damaged)) == [] and driver.agent.version == 0
+    driver.wait()
     for page in pages:
-        done = driven.answer(Page(page))
+        done = driver.answer(Page(page))
     assert [type(action) for action in done] == [agent.Apply, agent.Persist]
-    assert driven.agent.version == pages[0].version and driven.agent.content.values == log.content.values
+    assert driver.agent.version == pages[0].version and driver.agent.content.values == log.content.values
 
 
-def test_pages_out_of_order_begin_the_snapshot_again() -> None:
-    driven = Driven()
+def test_pages_out_of_order_restart_the_snapshot() -> None:
+    driver = DrivenAgent()
     pages = big_log().snapshot()
-    driven.answer(Page(pages[0]))
-    assert driven.answer(Page(pages[2])) == []
-    driven.wait()
-    assert (driven.watch.snapshot, driven.watch.page, driven.watch.start) == (0, 0, 0)
+    driver.answer(Page(pages[0]))
+    assert driver.answer(Page(pages[2])) == []
+    driver.wait()
+    assert (driver.watch.snapshot, driver.watch.page, driver.watch.start) == (0, 0, 0)
 
 
-def test_what_cannot_be_read_costs_the_source_and_waits_grow_to_a_bound() -> None:
-    driven, waits = Driven(), []
+def test_unreadable_responses_switch_the_source_and_the_retry_delay_is_limited() -> None:
+    driver, waits = DrivenAgent(), []
     for _ in range(12):
-        driven.answer(None)
-        waits.append(driven.timers[0].delay_ms)
-        driven.wait()
+        driver.answer(None)
+        waits.append(driver.timers[0].delay_ms)
+        driver.wait()
     assert max(waits) <= 1.5 * watcher.MAX_RETRY_MS and min(waits[6:]) >= 0.5 * watcher.MAX_RETRY_MS
 
 
-def test_a_source_that_says_nothing_is_left() -> None:
+def test_a_source_that_does_not_respond_is_left() -> None:
     made = Watcher("d0", ("r0", "r1"), 1)
     ask, overdue = made.start()
     assert isinstance(ask, watcher.PollSource) and isinstance(overdue, watcher.StartTimer)
@@ -391,11 +397,11 @@
     assert isinstance(again, watcher.StartTimer)
     asked = made.handle(again.event)[0]
     assert isinstance(asked, watcher.PollSource) and asked.source != ask.source
-    assert made.handle(watcher.PollAnswered(ask.watch_id, Progress.ADVANCED)) == []  # late: of no use
+    assert made.handle(watcher.PollAnswered(ask.watch_id, Progress.ADVANCED)) == []  # too late: ignored
 
 
 # ---- A source ---------------------------------------------------------------------------------------------
-def test_canaries_are_told_at_once_and_the_fleet_once_it_is_released() -> None:
+def test_canaries_get_a_change_at_once_and_the_fleet_after_its_release() -> None:
     log = ConfigLog()
     source = hub.WatchHub(log)
     names = [f"d{k}" for k in range(10)]
@@ -408,7 +414,7 @@
     assert len(source.handle(2.0, hub.LogChanged())) == 9
 
 
-def test_who_has_refused_is_offered_nothing_until_there_is_more() -> None:
+def test_a_director_that_refused_a_change_is_offered_nothing_until_a_later_one() -> None:
     log = ConfigLog()
     source = hub.WatchHub(log)
     put(log, a="bad")
@@ -419,7 +425,7 @@
     assert isinstance(reply.response, Steps) and len(reply.response.steps) == 2
 
 
-def test_a_held_watch_ends_with_nothing_new_and_one_that_left_is_forgotten() -> None:
+def test_a_held_watch_expires_with_an_empty_reply_and_a_disconnected_one_is_dropped() -> None:
     source = hub.WatchHub(ConfigLog())
     source.handle(0.0, hub.WatchReceived(1, DirectorWatch("d0", 1, 0)))
     source.handle(10.0, hub.WatchReceived(2, RelayWatch("r0", 1, 0)))
@@ -430,7 +436,7 @@
     assert replies == [hub.Reply(1, Steps(0)), hub.Reply(2, Entries(0))] and len(source) == 0
 
 
-def test_a_follower_that_is_too_far_behind_gets_pages() -> None:
+def test_a_follower_that_is_too_far_behind_gets_snapshot_pages() -> None:
     source = hub.WatchHub(big_log())
     watches: tuple[Watch, ...] = (DirectorWatch("d0", 1, 3), RelayWatch("r0", 1, 3))
     for number, watch in enumerate(watches):
@@ -444,7 +450,7 @@
     )
 
 
-def test_a_canary_that_falls_silent_with_a_change_is_told_of_until_it_is_forgotten() -> None:
+def test_a_canary_that_is_silent_after_an_offer_is_unconfirmed_until_it_is_dropped() -> None:
     roster = Roster()
     roster.record_watch(0.0, DirectorWatch("d0", 1, 4))
     roster.record_offer(10.0, "d0", 5)
@@ -456,8 +462,8 @@
 
 
 # ---- An acceptor ------------------------------------------------------------------------------------------
-def told(made: Acceptor, number: int, message: Prepare | Accept) -> object:
-    """The answer to a message once the disk has it."""
+def reply_to(made: Acceptor, number: int, message: Prepare | Accept) -> object:
+    """The reply to a message after its disk write."""
     (action,) = made.handle(acceptor.Asked(number, message))
     if isinstance(action, acceptor.Store):
         (action,) = made.handle(acceptor.Stored(number))
@@ -465,31 +471,31 @@
     return action.message
 
 
-def test_an_acceptor_answers_only_what_its_disk_has() -> None:
+def test_an_acceptor_replies_only_after_its_disk_write() -> None:
     made, low, high = Acceptor(), Ballot(1, "a"), Ballot(2, "b")
     key = register_key(1)
     (store,) = made.handle(acceptor.Asked(1, Prepare(key, high, 0)))
     assert isinstance(store, acceptor.Store)
     assert made.handle(acceptor.Stored(1)) == [acceptor.Reply(1, Promise(key, high))]
-    assert told(made, 2, Prepare(key, low, 0)) == Reject(key, low, high)
-    assert told(made, 3, Accept(key, low, 0, "x")) == Reject(key, low, high)
-    assert told(made, 4, Accept(key, high, 0, "y")) == Taken(key, high)
-    assert told(made, 5, Prepare(key, Ballot(3, "a"), 0)) == Promise(key, Ballot(3, "a"), high, "y")
+    assert reply_to(made, 2, Prepare(key, low, 0)) == Reject(key, low, high)
+    assert reply_to(made, 3, Accept(key, low, 0, "x")) == Reject(key, low, high)
+    assert reply_to(made, 4, Accept(key, high, 0, "y")) == Taken(key, high)
+    assert reply_to(made, 5, Prepare(key, Ballot(3, "a"), 0)) == Promise(key, Ballot(3, "a"), high, "y")
     made.handle(acceptor.Asked(6, Accept(key, Ballot(4, "a"), 0, "z")))
     assert made.handle(acceptor.StoreFailed(6)) == [acceptor.Reply(6, None)]
     assert made.handle(acceptor.Stored(6)) == []
 
 
-def test_what_is_decided_or_may_have_been_forgotten_gets_no_vote() -> None:
+def test_decided_versions_and_those_of_a_lost_disk_get_no_vote() -> None:
     ballot = Ballot(1, "a")
     made = Acceptor(head=4, abstain_up_to=7)
     for version in (3, 4, 7):
-        assert told(made, version, Prepare(register_key(version), ballot, 0)) == Reject(
+        assert reply_to(made, version, Prepare(register_key(version), ballot, 0)) == Reject(
             register_key(version), ballot
         )
-    assert told(made, 8, Prepare(register_key(8), ballot, 0)) == Promise(register_key(8), ballot)
+    assert reply_to(made, 8, Prepare(register_key(8), ballot, 0)) == Promise(register_key(8), ballot)
     made.advance_head(8)
-    assert made.open == {} and told(made, 9, Prepare(register_key(8), ballot, 0)) == Reject(
+    assert made.open == {} and reply_to(made, 9, Prepare(register_key(8), ballot, 0)) == Reject(
         register_key(8), ballot
     )
 
@@ -497,9 +503,9 @@
 @pytest.mark.parametrize(
     "key", ["config/", "config/x", "config/01", "config/-1", "t/5", "config/" + "9" * 20]
 )
-def test_a_key_that_is_no_version_gets_no_vote(key: str) -> None:
+def test_a_register_key_without_a_version_gets_no_vote(key: str) -> None:
     assert register_version(key) is None
-    assert told(Acceptor(), 1, Prepare(key, Ballot(1, "a"), 0)) == Reject(key, Ballot(1, "a"))
+    assert reply_to(Acceptor(), 1, Prepare(key, Ballot(1, "a"), 0)) == Reject(key, Ballot(1, "a"))
 
 
 # ---- Messages and files -----------------------------------------------------------------------------------
@@ -514,13 +520,13 @@
         b"{",
     ],
 )
-def test_a_watch_that_makes_no_sense_cannot_be_read(body: bytes) -> None:
+def test_an_invalid_watch_is_not_decoded(body: bytes) -> None:
     with pytest.raises(msgspec.MsgspecError):
         msgspec.json.decode(body, type=Watch)
 
 
 class MemoryFiles(FilePort):
-    """Files that are written at once."""
+    """Files in memory; writes complete at once."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -544,7 +550,7 @@
                 done(None)
 
             def close(self) -> None:
-                """Nothing to let go of."""
+                """Nothing to close."""
 
         return Appended()
 
@@ -555,10 +561,10 @@
         self.files.pop(name, None)
 
     def lock(self) -> None:
-        """Nobody else has these."""
+        """No other process uses these files."""
 
 
-def test_a_servers_store_gives_back_log_open_versions_and_runs() -> None:
+def test_a_servers_store_restores_log_open_versions_and_boot_epochs() -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     log = store.log
@@ -585,14 +591,14 @@
     written = files.files["configuration.log"]
     again = DirectorStore(files)
     assert again.version == 9 and again.content.values == store.content.values and not again.unusable_reason
-    for spoilt in (written[:20] + b"x" + written[21:], written[:5], b""):
-        files.files["configuration.log"] = spoilt
+    for damaged in (written[:20] + b"x" + written[21:], written[:5], b""):
+        files.files["configuration.log"] = damaged
         lost = DirectorStore(files)
         assert lost.version in (0, 9) and (lost.version == 9) is (lost.content.values == store.content.values)
     assert DirectorStore(MemoryFiles()).version == 0
 
 
-def test_a_servers_store_that_is_damaged_is_reported_and_not_used(tmp_path: Path) -> None:
+def test_a_damaged_servers_store_is_reported_and_not_used(tmp_path: Path) -> None:
     files = MemoryFiles()
     store = ServerStore(files, "c0", 1000)
     for number in range(20):
@@ -603,7 +609,7 @@
         ServerStore(files, "c0", 1000)
 
 
-def test_merged_changes_do_what_each_did_in_turn() -> None:
+def test_a_merged_change_equals_its_changes_applied_in_order() -> None:
     made = [
         Change({"titles/a": "1"}),
         Change(removes=("titles/a",)),
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -1,4 +1,4 @@
-"""Session tokens: round trip, every way to be wrong, and no token text in an error."""
+"""Session tokens: round trip, each fault, and no part of a token in an error message."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("key", [KEYS.keys[0], ECKey.generate_key("P-256", {"kid": "e"})])
-def test_what_is_issued_verifies(key: OctKey | ECKey) -> None:
+def test_an_issued_token_verifies(key: OctKey | ECKey) -> None:
     keys = KeySet([key])
     text = Issuer(keys, "issuer", "foxlift").issue(TOKEN)
     assert Verifier(keys, "issuer", "foxlift").verify(text) == TOKEN
 
 
-def test_expiry_is_told_apart_from_validity() -> None:
+def test_expiry_is_checked_separately_from_the_signature() -> None:
     VERIFIER.verify(TEXT).check_time(1_999_999_999, 2)
     VERIFIER.verify(TEXT).check_time(2_000_000_001, 2)
     with pytest.raises(TokenError) as late:
@@ -48,7 +48,7 @@
     assert (late.value.fault, early.value.fault) == (TokenFault.EXPIRED, TokenFault.NOT_YET_VALID)
 
 
-def test_every_way_to_be_wrong_is_told_apart() -> None:
+def test_each_fault_of_a_token_is_reported_as_such() -> None:
     head, body, signature = TEXT.split(".")
     other = KeySet([OctKey.generate_key(256, {"kid": "one"})])
     assert fault_of("") is TokenFault.MISSING
@@ -71,7 +71,7 @@
 def test_no_damaged_token_verifies(noise: bytes, at: int) -> None:
     damaged = TEXT[:at] + noise.decode("latin-1") + TEXT[at + 1 :]
     try:
-        # a change in the spare bits of the last character may leave the bytes as they were
+        # a change of the unused bits of the last character does not change the decoded bytes
         assert VERIFIER.verify(damaged) == TOKEN
         assert at == len(TEXT) - 1 or damaged == TEXT
     except TokenError as error:
