--- a/foxlift/rollout/agent.py
+++ b/foxlift/rollout/agent.py
@@ -2,8 +2,8 @@
 
     response of a relay            what is done
     steps from this version        checked as one change; Apply, Persist; the next watch acknowledges it
-    the same, the check fails      the most first steps that pass together are applied; the next watch reports
-                                   the step after them, the refused key and the cause
+    the same, the check fails      the longest prefix that passes is applied; the next watch reports the step
+                                   after it, the refused key and the cause
     steps from another version     ignored; the director switches to another relay
     a digest that differs          not applied; the content is rebuilt from empty and the difference applied
     pages of a snapshot            collected; the difference is applied as one change
--- a/foxlift/rollout/group.py
+++ b/foxlift/rollout/group.py
@@ -71,7 +71,7 @@
 
     # ---- Change requests ----------------------------------------------------------------------------------
     def request_change(self, now: float, correlation_id: int, request: ChangeRequest) -> list[Action]:
-        """An operator's order; ProposalFinished tells what became of it."""
+        """Propose an operator's change; ProposalFinished carries the outcome."""
         if request.request_id.startswith(INTERNAL_PREFIX):
             return [_refused(correlation_id, f"request: must not begin with {INTERNAL_PREFIX}")]
         if request.withdraw and not request.change.is_empty:
--- a/foxlift/rollout/hub.py
+++ b/foxlift/rollout/hub.py
@@ -79,7 +79,7 @@
 
 
 class WatchHub:
-    """The held watches of one source."""
+    """Replies to the watches of one source's followers."""
 
     def __init__(self, log: ConfigLog) -> None:
         self._log = log
@@ -187,9 +187,9 @@
         pages = self._log.snapshot(version)
         if pages[0].version != version or page >= len(pages):
             page = 0  # not the snapshot that the follower began with: restart at its first page
-        found = pages[page]
+        snapshot_page = pages[page]
         requests: dict[str, int] = {}
-        if found.last and with_requests:
-            latest = [item for item in self._log.requests.items() if item[1] <= found.version]
+        if snapshot_page.last and with_requests:
+            latest = [item for item in self._log.requests.items() if item[1] <= snapshot_page.version]
             requests = dict(latest[-MAX_SNAPSHOT_REQUESTS:])
-        return Page(found, requests)
+        return Page(snapshot_page, requests)
--- a/foxlift/rollout/log.py
+++ b/foxlift/rollout/log.py
@@ -58,7 +58,7 @@
         self.content, self.released_content, self.base_content = Content(), Content(), Content()
         self.entries: deque[Entry] = deque()
         self.requests: dict[str, int] = {}  # committed request ids, with their version
-        self._undo: dict[int, Change] = {}  # inverse changes by version, for the kept entries
+        self._inverses: dict[int, Change] = {}  # inverse changes by version, for the kept entries
         self._reverts: list[RevertedVersion] = []  # those whose reverting version is kept
         self._snapshot: tuple[SnapshotPage, ...] = ()
 
@@ -71,8 +71,8 @@
         if self.content.digest_after(entry.change) != entry.digest:
             raise EntryError(f"version {entry.version}: the digest differs")
         if entry.released > entry.version:
-            raise EntryError(f"version {entry.version}: releases {entry.released}, which is not there yet")
-        self._undo[entry.version] = self.content.apply(entry.change)
+            raise EntryError(f"version {entry.version}: releases {entry.released}, which does not exist yet")
+        self._inverses[entry.version] = self.content.apply(entry.change)
         self.entries.append(entry)
         self.head = entry.version
         if entry.reverts:
@@ -91,7 +91,7 @@
             Content(values),
         )
         self.entries.clear()
-        self._undo.clear()
+        self._inverses.clear()
         self._reverts.clear()
         self._snapshot = ()
         self.requests = dict(requests)
@@ -113,7 +113,7 @@
             entry = self.entries.popleft()
             self.base = entry.version
             self.base_content.apply(entry.change)
-            self._undo.pop(entry.version, None)
+            self._inverses.pop(entry.version, None)
         if self._reverts and self._reverts[0].reverted_by <= self.base:
             self._reverts = [revert for revert in self._reverts if revert.reverted_by > self.base]
 
@@ -126,8 +126,8 @@
     def between(self, after: int, version: int) -> list[Entry]:
         """The kept entries after version `after`, up to and including `version`."""
         first = max(after, self.base) + 1
-        found = (self.entry(number) for number in range(first, version + 1))
-        return [entry for entry in found if entry is not None]
+        entries = (self.entry(number) for number in range(first, version + 1))
+        return [entry for entry in entries if entry is not None]
 
     def last_change(self, up_to: int) -> int:
         """The latest version up to `up_to` that matters to directors; `base` if no kept one does.
@@ -159,7 +159,7 @@
         """Whether a kept version has been reverted."""
         return any(revert.version == version for revert in self._reverts)
 
-    def has_no_reverted_change(self, version: int) -> bool:
+    def is_free_of_reverted_changes(self, version: int) -> bool:
         """Whether the content at a version holds no change that a later version reverts."""
         return not any(revert.version <= version < revert.reverted_by for revert in self._reverts)
 
@@ -200,7 +200,7 @@
                 continue
             if entry.version not in reverted and self._is_original(entry):
                 return entry.change.puts.get(key)
-            before = self._undo[entry.version].puts.get(key)
+            before = self._inverses[entry.version].puts.get(key)
         return before
 
     # ---- Catching up --------------------------------------------------------------------------------------
@@ -224,12 +224,12 @@
             is_single = len(entries) - index < MAX_SINGLE_STEPS
             is_between = any(revert.version <= entry.version < revert.reverted_by for revert in reverts)
             if is_last or (not is_between and (is_single or size >= PAGE_CHARS)):
-                steps.append(_merged(after, group))
+                steps.append(_merge_entries(after, group))
                 after, group, size = entry.version, [], 0
         return tuple(steps)
 
     def snapshot(self, version: int = 0) -> tuple[SnapshotPage, ...]:
-        """The pages of a snapshot: of `version` if it is cached, else of the cached or a new usable one."""
+        """The pages of the cached snapshot if it is of `version` or not below `base`, else of a new one."""
         cached_version = self._snapshot[0].version if self._snapshot else -1
         if cached_version != version and (cached_version < self.base or cached_version < 0):
             self._snapshot = _pages(self.released, self.released_content)
@@ -240,7 +240,7 @@
     return key in entry.change.puts or key in entry.change.removes
 
 
-def _merged(after: int, entries: list[Entry]) -> Step:
+def _merge_entries(after: int, entries: list[Entry]) -> Step:
     return Step(after, entries[-1].version, merge(e.change for e in entries), entries[-1].digest)
 
 
--- a/foxlift/rollout/proposer.py
+++ b/foxlift/rollout/proposer.py
@@ -41,8 +41,8 @@
     correlation_id: int
     request_id: str
     change: Change = field(default_factory=Change)
-    withdraw: int = 0
-    release: int = 0
+    withdraw: int = 0  # version to revert
+    release: int = 0  # version to release
     reason: str = ""
     repair: bool = False  # has no content: it only gets the next version decided
 
@@ -91,16 +91,20 @@
         """Whether no proposal is in flight or queued."""
         return self._in_flight is None and not self._queue
 
-    def is_pending(self, request: str) -> bool:
+    def is_pending(self, request_id: str) -> bool:
         """Whether a proposal with this request id is in flight or queued."""
-        queued = any(each.proposal.request_id == request for each in self._queue)
-        return queued or (self._in_flight is not None and self._in_flight.proposal.request_id == request)
+        queued = any(one.proposal.request_id == request_id for one in self._queue)
+        return queued or (self._in_flight is not None and self._in_flight.proposal.request_id == request_id)
 
     def propose(self, now: float, proposal: Proposal, *, first: bool = False) -> list[Action]:
         """Queue a proposal; `first`: at the front of the queue."""
-        known = self._log.requests.get(proposal.request_id)
-        if known is not None:
-            return [ProposalFinished(proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, known))]
+        committed_version = self._log.requests.get(proposal.request_id)
+        if committed_version is not None:
+            return [
+                ProposalFinished(
+                    proposal.correlation_id, ChangeResponse(Outcome.COMMITTED, committed_version)
+                )
+            ]
         if len(self._queue) >= MAX_QUEUED:
             return [
                 ProposalFinished(
@@ -129,12 +133,12 @@
         if self._in_flight is not None or not self._queue or now < self._retry_at:
             return actions
         queued = self._queue.popleft()
-        known = self._log.requests.get(queued.proposal.request_id)
-        if known is not None:
-            response = ChangeResponse(Outcome.COMMITTED, known)
+        committed_version = self._log.requests.get(queued.proposal.request_id)
+        if committed_version is not None:
+            response = ChangeResponse(Outcome.COMMITTED, committed_version)
             return [*actions, ProposalFinished(queued.proposal.correlation_id, response), *self.advance(now)]
         try:
-            entry = self._entry(now, queued.proposal)
+            entry = self._make_entry(now, queued.proposal)
         except EntryError as error:
             refused = self._finished(queued.proposal, Outcome.REFUSED, str(error))
             return [*actions, refused, *self.advance(now)]
@@ -144,7 +148,7 @@
         change = registers.Change(self._last_round, key, self._members, value, 0, ROUND_TIMEOUT_MS)
         return [*actions, *self._handle_register_actions(now, self._registers.handle(now, change))]
 
-    def _entry(self, now: float, proposal: Proposal) -> Entry:
+    def _make_entry(self, now: float, proposal: Proposal) -> Entry:
         log, change = self._log, proposal.change
         if proposal.withdraw:
             if log.is_reverted(proposal.withdraw):
--- a/foxlift/rollout/release.py
+++ b/foxlift/rollout/release.py
@@ -131,8 +131,8 @@
         ready = 0
         while self._majorities and now - self._majorities[0].at >= SOAK_MS:
             ready = self._majorities.popleft().version
-        # if it is reverted, canaries are about to apply the reverting version
-        if log.last_change(ready) <= log.released or not log.has_no_reverted_change(ready):
+        # if `ready` is reverted, canaries are about to apply the reverting version
+        if log.last_change(ready) <= log.released or not log.is_free_of_reverted_changes(ready):
             return None
         return Release(ready)
 
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -273,8 +273,8 @@
     def start(self, now: float) -> list[Action]:
         """Start the followers and the timer."""
         actions: list[Action] = [StartTimer(TICK_INTERVAL_MS, Tick())]
-        for source, one in self._followers.items():
-            actions += self._handle_follower_actions(now, source, one.start())
+        for source, source_follower in self._followers.items():
+            actions += self._handle_follower_actions(now, source, source_follower.start())
         return actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -398,9 +398,9 @@
             match action:
                 case EntryDecided(entry):
                     result += self._append_decided(now, entry)
-                case ProposalFinished(correlation_id, answer):
+                case ProposalFinished(correlation_id, response):
                     if correlation_id:
-                        result.append(ReplyChange(correlation_id, answer))
+                        result.append(ReplyChange(correlation_id, response))
                 case acceptor.Store(correlation_id, record):
                     result.append(StoreOpenVersion(correlation_id, record))
                 case acceptor.Reply(correlation_id, message):
--- a/foxlift/rollout/stores.py
+++ b/foxlift/rollout/stores.py
@@ -213,7 +213,7 @@
         self._append(_Decided(entry))
 
     def store_boot_epoch(self, name: str, boot_epoch: int, on_written: Callable[[int | None], None]) -> None:
-        """Write a member's boot epoch; reports the previous one, or None if the disk failed."""
+        """Write a member's boot epoch, then report the previous one, or None if the disk failed."""
         known, previous = self.boot_epochs.get(name, (0, 0))
         if boot_epoch < known:
             on_written(known)  # sent before the member's restart
--- a/foxlift/rollout/watcher.py
+++ b/foxlift/rollout/watcher.py
@@ -33,7 +33,7 @@
 
 
 class Progress(Enum):
-    """What a response meant to the follower."""
+    """The effect of a response: the follower advanced, nothing changed, or the response was unusable."""
 
     ADVANCED = "it was brought on"
     UNCHANGED = "nothing new"
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -64,7 +64,7 @@
         with pytest.raises(EntryError, match=fault):
             log.append(Entry(version, "c0", "x", Change({"titles/b": "2"}), digest=digest))
     early = entry_after(log, Change({"titles/b": "2"}))
-    with pytest.raises(EntryError, match="not there yet"):
+    with pytest.raises(EntryError, match="does not exist yet"):
         log.append(msgspec.structs.replace(early, released=9))
     assert log.head == 1 and log.content.values == {"titles/a": "1"}
 
@@ -91,8 +91,8 @@
     assert log.content.values == {"titles/a": "1", "titles/b": "3"}
     assert (
         log.is_reverted(bad.version)
-        and not log.has_no_reverted_change(bad.version)
-        and log.has_no_reverted_change(log.head)
+        and not log.is_free_of_reverted_changes(bad.version)
+        and log.is_free_of_reverted_changes(log.head)
     )
 
 
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -86,9 +86,9 @@
 def test_a_change_is_carried_out_once_although_its_author_and_a_relay_die(tmp_path: Path) -> None:
     async def test(world: ControlledFleet) -> None:
         world.cut("c0", "c2")  # its author reaches one other member, which is a quorum
-        request = asyncio.create_task(world.put(titles("a"), "c0", request="order-a"))
+        pending_request = asyncio.create_task(world.put(titles("a"), "c0", request="order-a"))
         await world.kill("r0")
-        code, _, errors = await request
+        code, _, errors = await pending_request
         assert code in (0, 6), errors
         await world.kill("c0")
         world.restore_links()
