--- a/foxlift/config/settings.py
+++ b/foxlift/config/settings.py
@@ -96,9 +96,15 @@
             raise ValueError("classes: two classes have the same name")
         for klass in self.classes:
             if klass.floor > klass.top or klass.top >= len(self.ladder_kb):
-                raise ValueError(f"class {klass.name}: floor and top do not fit the ladder")
+                raise ValueError(
+                    f"class {klass.name}: floor and top ({klass.floor}, {klass.top}) do not fit"
+                    f" a ladder of {len(self.ladder_kb)} rungs"
+                )
             if klass.wanted_ms > klass.deadline_ms or klass.deadline_ms <= 0:
-                raise ValueError(f"class {klass.name}: wanted-ms lies above deadline-ms")
+                raise ValueError(
+                    f"class {klass.name}: wanted-ms {klass.wanted_ms} above deadline-ms {klass.deadline_ms},"
+                    " or no deadline"
+                )
         if len(self.kinds) != len(self.kind_slots):
             raise ValueError(
                 f"{len(self.kinds)} names in kinds, {len(self.kind_slots)} numbers in kind-slots"
@@ -106,7 +112,7 @@
 
 
 class FrontConfig(msgspec.Struct, frozen=True):
-    """The listener for players and its limits per connection."""
+    """The listener for players, its limits and time-outs."""
 
     host: str = "127.0.0.1"
     port: Port = 0
