--- a/foxlift/rollout/stores.py
+++ b/foxlift/rollout/stores.py
@@ -214,12 +214,12 @@
 
     def store_boot_epoch(self, name: str, boot_epoch: int, on_written: Callable[[int | None], None]) -> None:
         """Write a member's boot epoch, then report the previous one, or None if the disk failed."""
-        known, previous = self.boot_epochs.get(name, (0, 0))
-        if boot_epoch < known:
-            on_written(known)  # sent before the member's restart
+        latest, previous = self.boot_epochs.get(name, (0, 0))
+        if boot_epoch < latest:
+            on_written(latest)  # sent before the member's restart
             return
-        if boot_epoch > known:
-            previous = known
+        if boot_epoch > latest:
+            previous = latest
             self.boot_epochs[name] = boot_epoch, previous
         self._append(
             _BootEpoch(name, boot_epoch, previous),
--- a/foxlift/tokens/session.py
+++ b/foxlift/tokens/session.py
@@ -107,11 +107,11 @@
         try:
             claims = jwt.decode(text, self._keys, algorithms=ALGORITHMS).claims
         except JoseError as error:
-            known = {
+            fault_by_error = {
                 "bad_signature": TokenFault.BAD_SIGNATURE,
                 "invalid_key_id": TokenFault.WRONG_ISSUER_OR_AUDIENCE,
             }
-            raise TokenError(known.get(str(error.error), TokenFault.MALFORMED)) from None
+            raise TokenError(fault_by_error.get(str(error.error), TokenFault.MALFORMED)) from None
         except (ValueError, TypeError, KeyError, binascii.Error, RecursionError):
             raise TokenError(TokenFault.MALFORMED) from None
         return self._read(claims)
