--- a/foxlift/boxes/resource.py
+++ b/foxlift/boxes/resource.py
@@ -21,7 +21,8 @@
     `boot_epoch`: the director's. Above 0, other directors can take the session over: the box keeps it for
     `grace_ms` without its owner's notice stream, with `note` for the director that takes it over.
 
-    `boot`: only the box process with this boot id runs the set-up; empty: any.
+    `boot`: only the box process with this boot id runs the set-up; empty: any. `within_ms`: how long the
+    director waits for the response.
     """
 
     director: str
