--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -65,7 +65,7 @@
     Finding(
         Kind.BOUND,
         "foxlift/zones/evidence.py",
-        "`MOST_REPORTS`",
+        "`MAX_REPORTS`",
         "reports of the last directors are dropped without a word",
         worked_out="{{worked:max_reports}} of 4,200 needed",
         mend="one report a zone, gathered there",
@@ -89,8 +89,8 @@
     ),
     Finding(
         Kind.BOUND,
-        "foxlift/platform/farewells.py",
-        "`MOST`",
+        "foxlift/platform/session_endings.py",
+        "`MAX_ENTRIES`",
         "releases kept until their server confirms them, for 5 s; beyond it the oldest is not sent again",
         worked_out="4,096 in 5 s are 819/s of 19,000 deliveries/s",
         mend="bound it by time alone, or by server",
@@ -110,7 +110,7 @@
     Finding(
         Kind.GROWS,
         "foxlift/recovery/takeover.py",
-        "`_Gone.heard`",
+        "`_GoneDirector.contacted`",
         "for each dead director who was heard since: a bit for each name",
         _scan("memory of whom half of the fleet was heard since a death", CONTROL, "dead directors"),
         ZONE,
@@ -142,8 +142,8 @@
     ),
     Finding(
         Kind.GROWS,
-        "foxlift/recovery/book.py",
-        "`met`",
+        "foxlift/recovery/register_store.py",
+        "`peer_epochs`",
         "a run for each name ever met, in memory, on disk and in each rewrite of the file",
         worked_out=f"{READ}; one entry a director replaced under a new name, 6,100 a day at most",
         mend="drop names that the settings no longer hold",
@@ -179,7 +179,7 @@
     Finding(
         Kind.WORK,
         "foxlift/recovery/takeover.py",
-        "`Takeovers._plan`, `successor`",
+        "`Takeovers._update_works`, `successor`",
         "at each change of the view, for each dead director and each server, names are hashed until one "
         "ranks higher (here: 100 servers, 1 dead)",
         _scan("plan of takeovers after one change, 100 servers, 1 dead", CONTROL, "directors"),
@@ -211,7 +211,7 @@
     Finding(
         Kind.WORK,
         "foxlift/recovery/takeover.py",
-        "`Heard`",
+        "`PeerContacted`",
         "each message of a peer is told to each dead director's entry",
         _scan("a peer's message while directors are dead", CONTROL, "dead directors"),
         ZONE,
@@ -232,7 +232,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/transport.py",
-        "`_look`, `_owed`",
+        "`_check_stop`, `_pending_work`",
         "what is unsent is summed over all connections at each tick of a stop",
         _scan("look at what is unsent", DATA_PATH, "connections"),
         CONNECTIONS,
@@ -242,7 +242,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`_box_connection_lost`",
+        "`_server_connection_lost`",
         "the set-ups that are out on the connection",
         _scan("loss of one connection to a server", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -252,7 +252,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`BoxLost` in `handle`",
+        "`ServerLost` in `handle`",
         "the sessions that stand at the server",
         _scan("loss of one server without sessions", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -262,7 +262,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/core.py",
-        "`_restarted`",
+        "`_server_restarted`",
         "the same at each restart of a server",
         _scan("restart of one server without sessions", DATA_PATH, "sessions"),
         CONNECTIONS,
@@ -272,7 +272,7 @@
     Finding(
         Kind.WORK,
         "foxlift/platform/transport.py",
-        "`tell`",
+        "`notify_core`",
         "after each event all viewers that do not read are gone over",
         worked_out=f"{READ}; one call each, at each event",
         mend="only when a set-up of theirs ends",
@@ -307,8 +307,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/zones/common.py",
-        "`_tell`",
+        "foxlift/zones/agreement.py",
+        "`_gossip`",
         "all names are sorted to draw three",
         _scan("telling a plan on", CONTROL, "directors"),
         DIRECTORS,
@@ -318,7 +318,7 @@
     Finding(
         Kind.WORK,
         "foxlift/zones/evidence.py",
-        "`judge`",
+        "`assess`",
         "all reports are judged anew, at the maker that proposes",
         _scan("judgement of nine zones", PLAN_MAKERS, "directors"),
         DIRECTORS,
@@ -328,7 +328,7 @@
     Finding(
         Kind.WORK,
         "foxlift/peers/view.py",
-        "`_next`",
+        "`_next_target`",
         "all peers are gone over for those that are absent",
         _scan("choice of whom to probe", CONTROL, "directors"),
         DIRECTORS,
@@ -347,8 +347,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/accord/spread.py",
-        "`holders_of`",
+        "foxlift/consensus/rendezvous.py",
+        "`replicas_of`",
         "all names are hashed and sorted for one claim",
         _scan("place of a claim's register", REGISTER_HOLDERS, "directors"),
         DIRECTORS,
@@ -357,18 +357,18 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/accord/holder.py",
-        "`_forget`",
+        "foxlift/consensus/replica.py",
+        "`_delete_expired`",
         "all registers are searched for those that are over",
         _scan("scan for registers that are over", REGISTER_HOLDERS, "registers"),
         REGISTERS,
         "each eleven seconds",
-        mend="a heap by end, as `decide/claims.py` has",
+        mend="a heap by end, as `decide/token_sessions.py` has",
     ),
     Finding(
         Kind.WORK,
-        "foxlift/recovery/book.py",
-        "`_whole`",
+        "foxlift/recovery/register_store.py",
+        "`_encode_all`",
         "all registers are encoded on the loop when the file is written anew",
         _scan("rewriting the registers' file", REGISTER_HOLDERS, "registers"),
         REGISTERS,
@@ -397,8 +397,8 @@
     ),
     Finding(
         Kind.WORK,
-        "foxlift/recovery/standing.py",
-        "`_ask`",
+        "foxlift/recovery/disk_check.py",
+        "`_query`",
         "a start asks every peer at once which run it knows; each answer waits for a write to disk there",
         worked_out="{{worked:hellos_per_start}} a start, {{worked:hellos_per_s}} over the fleet on an "
         "ordinary day",
@@ -479,8 +479,8 @@
     ),
     Finding(
         Kind.WHOLE,
-        "foxlift/platform/feed.py",
-        "`Feed`",
+        "foxlift/platform/discovery_watch.py",
+        "`DiscoveryWatch`",
         "the platform's list comes whole at a start without one, after three misread feeds, else as changes",
         _scan("the platform's list as it is sent", DISCOVERY, "servers"),
         LISTED,
--- a/bench/scale/load_memory.py
+++ b/bench/scale/load_memory.py
@@ -20,12 +20,12 @@
 from bench.scale.load_core import CoreUnderLoad
 from bench.scale.series import Quantity, Run, SizeSeries, measure_series
 from foxlift import interface as fl
-from foxlift.decide import claims
-from foxlift.peers import Asked, Peers
+from foxlift.decide import token_sessions
+from foxlift.peers import Peers, RequestReceived
 from foxlift.peers.messages import Ping
 from foxlift.platform import events as ev
 from foxlift.platform import server_pool
-from foxlift.platform.settings import Address, Box, Told
+from foxlift.platform.settings import Address, ListedServer, ListUpdate
 
 SERVERS = 100
 PATH_TOKEN = "p" * 22
@@ -66,8 +66,8 @@
     for index in range(1, count + 1):
         info = fl.NodeInfo(server_number(index), 0, 0, 0, fl.Status.READY)
         address = Address(f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}", 5060)
-        loaded.handle(ev.Listed(Told(index, False, (Box(info, address),))))
-        pools.append(server_pool.ServerPool(server_pool.CONNECT_MS, 30_000.0, 1, 1))
+        loaded.handle(ev.ListUpdated(ListUpdate(index, False, (ListedServer(info, address),))))
+        pools.append(server_pool.ServerPool(server_pool.DEFAULT_CONNECT_TIMEOUT_MS, 30_000.0, 1, 1))
     return loaded, pools
 
 
@@ -76,15 +76,15 @@
     names = [f"director-{index:05d}" for index in range(count + 1)]
     view = Peers(names[0], 1, names, 1)
     for request, name in enumerate(names[1:]):
-        view.handle(float(request), Asked(request, Ping(name, 1, ())))
+        view.handle(float(request), RequestReceived(request, Ping(name, 1, ())))
     return view
 
 
-def _playing_claims(count: int) -> claims.Claims:
-    held = claims.Claims()
+def _playing_claims(count: int) -> token_sessions.TokenSessions:
+    held = token_sessions.TokenSessions()
     for number in range(1, count + 1):
-        held.handle(0.0, claims.Requested(number, f"token-{number:016x}", True, EXPIRES, False))
-        held.handle(0.0, claims.Plays(number))
+        held.handle(0.0, token_sessions.Requested(number, f"token-{number:016x}", True, EXPIRES, False))
+        held.handle(0.0, token_sessions.SessionStarted(number))
     return held
 
 
@@ -97,8 +97,8 @@
     """Claims of paid tokens whose sessions are parked: nothing else of a parked session stays in the core."""
     held = _playing_claims(count)
     for number in range(1, count + 1):
-        place = claims.Place(number % SERVERS, f"d0-{number}-0", f"{PATH_TOKEN}{number}")
-        held.handle(0.0, claims.Parked(number, FAR, place))
+        place = token_sessions.ParkedLocation(number % SERVERS, f"d0-{number}-0", f"{PATH_TOKEN}{number}")
+        held.handle(0.0, token_sessions.Parked(number, FAR, place))
     return held
 
 
--- a/foxlift/director/answers.py
+++ b/foxlift/director/answers.py
@@ -9,7 +9,7 @@
 import structlog
 
 from foxlift.config import DirectorConfig
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events as ev
 from foxlift.director.authorizer import ManifestRequest, back_url, manifest_url
 from foxlift.http import Exchange, Headers
@@ -20,14 +20,18 @@
 MPD: Headers = (("content-type", "application/dash+xml"), ("cache-control", "no-store"))
 
 # status, title, Retry-After in seconds
-_REJECTIONS: dict[Why, tuple[int, str, int | None]] = {
-    Why.EXPIRED: (403, "the token has expired", None),
-    Why.FAILED: (502, "the session may have been set up already; this token starts no other", None),
-    Why.PLAYED: (410, "the session of this token is over", None),
-    Why.BUSY: (503, "the session of this token is being called off", 1),
-    Why.FLOOD: (429, "too many requests wait on this token", 1),
-    Why.UNREACHED: (503, "nobody can tell now who has the session of this token", 1),
-    Why.NOT_HERE: (421, "the session of this token is not here", None),
+_REJECTIONS: dict[RejectionReason, tuple[int, str, int | None]] = {
+    RejectionReason.EXPIRED: (403, "the token has expired", None),
+    RejectionReason.MAY_HAVE_RUN: (
+        502,
+        "the session may have been set up already; this token starts no other",
+        None,
+    ),
+    RejectionReason.SESSION_OVER: (410, "the session of this token is over", None),
+    RejectionReason.CANCELLING: (503, "the session of this token is being called off", 1),
+    RejectionReason.TOO_MANY_WAITING: (429, "too many requests wait on this token", 1),
+    RejectionReason.OWNER_UNREACHABLE: (503, "nobody can tell now who has the session of this token", 1),
+    RejectionReason.NOT_HERE: (421, "the session of this token is not here", None),
 }
 
 
@@ -206,7 +210,7 @@
         """Respond 504: the session may have been set up."""
         self._respond(request, 504, "the session could not be set up in time", session=session)
 
-    def reject(self, request: int, reason: Why, come_back_ms: float = 0.0) -> None:
+    def reject(self, request: int, reason: RejectionReason, come_back_ms: float = 0.0) -> None:
         """Respond with a problem, without a session."""
         status, title, seconds = _REJECTIONS[reason]
         if come_back_ms > 0:
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -22,7 +22,7 @@
 )
 from foxlift.catalogue import Catalogue
 from foxlift.config import DirectorConfig
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.director.answers import Answers, PendingRequest
 from foxlift.director.cluster.messages import JSON_HEADERS, WAITED_HEADER
@@ -38,7 +38,7 @@
 from foxlift.store import FilePort, IntentLog
 from foxlift.telemetry import Counters
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 UNKNOWN_BOOT = "-"  # no box process is called so: a set-up for it is refused, and the refusal tells the name
 MAX_ROUTINGS = 4  # times that one request is looked for elsewhere
@@ -150,7 +150,7 @@
         """See `Host`."""
         self.daemon.ask_core(request)
 
-    def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
+    def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """See `Host`."""
         self.daemon.counters.add("turned down", why.value)
         self.daemon.answers.reject(request, why, come_back_ms)
@@ -194,9 +194,9 @@
             if held.manifest_request.hint
             else None
         )
-        if hinted is None or not self.daemon.core.claims.is_new(held.manifest_request.token.id):
+        if hinted is None or not self.daemon.core.token_sessions.is_new(held.manifest_request.token.id):
             return False
-        if hinted.owner == self.daemon.config.name and hinted.run == self.boot_epoch:
+        if hinted.owner == self.daemon.config.name and hinted.boot_epoch == self.boot_epoch:
             return False
         self.service.forwarder.resolve(number, hinted, hint=True, forwarded=passed)
         return True
@@ -214,7 +214,7 @@
             return None
         held.lookups += 1
         if held.lookups > MAX_ROUTINGS:
-            self.turn_down(number, Why.FAILED, 0.0)
+            self.turn_down(number, RejectionReason.MAY_HAVE_RUN, 0.0)
             return None
         return held
 
@@ -250,7 +250,7 @@
         held = self._routed(number)
         if held is None:
             return
-        if self.daemon.core.claims.is_new(token):
+        if self.daemon.core.token_sessions.is_new(token):
             self.daemon.ask_core(number)
             return
         if known is None:
@@ -377,7 +377,7 @@
             if left is not None and left.began <= gone.at:
                 daemon.journal.handle(int(daemon.timeline.now()), Ended(gone.at, gone.set_up))
         adoptees = tuple(filter(None, (self._adoptee(box, held) for held in answer.sessions)))
-        new = [one for one in adoptees if not daemon.core.attempts.knows(one.set_up)]
+        new = [one for one in adoptees if not daemon.core.attempts.is_known(one.set_up)]
         if adoptees:
             daemon.feed(events.SessionsTakenOver(node, answer.boot, answer.counter, adoptees))
         for one in new:
@@ -409,7 +409,7 @@
         until = daemon.timeline.unix_s() + held.parked_ms / 1000 if held.parked_ms else 0.0
         return events.TakenOverSession(token, title, held.set_up, held.rung, held.path_token, held.at, until)
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """See `Host`."""
         return self.daemon.core.zone_evidence(self.daemon.timeline.now())
 
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -7,10 +7,10 @@
 from typing import Protocol
 
 from foxlift.boxes.takeover import TakeoverRequest, TakeoverResponse
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.http import Exchange, Failure, Headers, Response
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     def open_here(self, request: int) -> None:
         """Have the core answer the request."""
 
-    def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
+    def turn_down(self, request: int, why: RejectionReason, come_back_ms: float) -> None:
         """Answer the request without a session; `come_back_ms` 0: no time to come back after."""
 
     def relay(self, request: int, answer: Response) -> None:
@@ -61,5 +61,5 @@
     def superseded(self) -> None:
         """Another process has this director's name: do nothing more."""
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -6,17 +6,18 @@
 
 import msgspec
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import Ask as RegisterAsk
-from foxlift.accord import Holder, Reject, holder
-from foxlift.accord.register import Answered, Send, Unanswered
+from foxlift.consensus import Reject, Replica
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
+from foxlift.consensus import replica as acceptor
+from foxlift.consensus.register import RequestFailed, ResponseReceived, Send
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.messages import JSON_HEADERS, RegisterRequest, RegisterResponse
 from foxlift.director.cluster.server import PeerServer
 from foxlift.http import Exchange
-from foxlift.zones.common import KEY as PLAN_KEY
-from foxlift.zones.common import LASTS_MS as PLAN_LASTS_MS
+from foxlift.zones.agreement import REGISTER_END_UNIX_MS as PLAN_END_UNIX_MS
+from foxlift.zones.agreement import REGISTER_KEY as PLAN_KEY
 
 REGISTER_TIMEOUT_MS = 400.0
 _decode_response = msgspec.json.Decoder(RegisterResponse).decode
@@ -29,22 +30,22 @@
 
     def __init__(self, context: ClusterContext) -> None:
         self._context = context
-        self._tokens: Holder | None = None
-        self._plan: Holder | None = None
+        self._tokens: Replica | None = None
+        self._plan: Replica | None = None
 
     def begin(self, disk_lost: bool) -> None:
         """Answer from now on. `disk_lost`: what the disk holds may be old, and counts from now only."""
-        book, peers = self._context.book, self._context.config.peers
+        store, peers = self._context.store, self._context.config.peers
         if disk_lost:
             now = int(self._context.now())
             self._context.log.error("the state folder is not the last run's: lost, or an older copy")
-            book.begin_anew(now)
-            book.begun_at = now
+            store.mark_disk_lost(now)
+            store.valid_since = now
         apart = peers.clocks_apart_ms
-        self._tokens = Holder(peers.longest_token_s * 1000, apart, book.begun_at, book.records)
+        self._tokens = Replica(peers.longest_token_s * 1000, apart, store.valid_since, store.records)
         if self._context.name in peers.makers:
-            self._plan = Holder(PLAN_LASTS_MS, apart, book.begun_at, book.records)
-        self._context.log.info("registers vouched for", lost=disk_lost, held=len(book.records))
+            self._plan = Replica(PLAN_END_UNIX_MS, apart, store.valid_since, store.records)
+        self._context.log.info("registers vouched for", lost=disk_lost, held=len(store.records))
 
     def handle(self, ask: RegisterAsk, reply: Reply) -> None:
         """Answer a proposer's message; `reply(None)` where the disk failed."""
@@ -53,24 +54,24 @@
             reply(Reject(ask.key, ask.ballot))
             return
         number = self._context.next_number()
-        self._step(replica, holder.Asked(number, ask), reply)
+        self._step(replica, acceptor.RequestReceived(number, ask), reply)
 
-    def _step(self, replica: Holder, event: holder.Event, reply: Reply) -> None:
+    def _step(self, replica: Replica, event: acceptor.Event, reply: Reply) -> None:
         for action in replica.handle(self._context.now(), event):
             match action:
-                case holder.Store(number, record):
+                case acceptor.Store(number, record):
                     self._store(replica, number, record, reply)
-                case holder.Reply(_, message):
+                case acceptor.Reply(_, message):
                     reply(message)
 
-    def _store(self, replica: Holder, number: int, record: holder.Record, reply: Reply) -> None:
+    def _store(self, replica: Replica, number: int, record: acceptor.Record, reply: Reply) -> None:
         def stored(error: OSError | None) -> None:
-            event = holder.Stored(number) if error is None else holder.StoreFailed(number)
+            event = acceptor.Stored(number) if error is None else acceptor.StoreFailed(number)
             self._step(replica, event, reply)
             if error is not None:
                 reply(None)
 
-        self._context.book.keep(record, stored)
+        self._context.store.append_record(record, stored)
 
 
 class RegisterEndpoint:
@@ -81,11 +82,15 @@
         self.replica = RegisterReplica(context)
         server.add_handler("/peers/registers", self._receive)
 
-    def send(self, send: Send, done: Callable[[Answered | Unanswered], None]) -> None:
+    def send(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
         """Ask a replica, which may be this director's own; `done` is never called from inside."""
 
         def answered(answer: RegisterAnswer | None) -> None:
-            event = Unanswered(send.ask) if answer is None else Answered(send.ask, answer)
+            event = (
+                RequestFailed(send.request_id)
+                if answer is None
+                else ResponseReceived(send.request_id, answer)
+            )
             self._context.loop.call_soon(done, event)
 
         if send.to == self._context.name:
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -7,9 +7,9 @@
     token_claims, forwarding  who may set a paid token up; who answers a request
     zone_planning             the zones' plan in common, where the settings name planners
 
-The decisions are those of `foxlift.peers`, `foxlift.accord`, `foxlift.recovery` and `foxlift.zones`, which do
-no I/O. Every message names its sender and the sender's boot epoch; who is not in the settings, or is in an
-epoch that is over, is refused.
+The decisions are made by `foxlift.peers`, `foxlift.consensus`, `foxlift.recovery` and `foxlift.zones`, which
+do no I/O. Every message names its sender and the sender's boot epoch. Messages of a sender that the settings
+do not name, or of a past epoch, are refused.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 import asyncio
 from collections.abc import Callable
 
-from foxlift.accord.register import Answered, Send, Unanswered
 from foxlift.config import DirectorConfig
+from foxlift.consensus.register import RequestFailed, ResponseReceived, Send
 from foxlift.director import events
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
@@ -35,10 +35,10 @@
 from foxlift.director.cluster.zone_planning import ZonePlanning
 from foxlift.director.timeline import Timeline
 from foxlift.http import Failure, Response
-from foxlift.peers.messages import State
+from foxlift.peers.messages import PeerState
 from foxlift.store import FilePort
 from foxlift.telemetry import Counters
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 STOP_TIME_MS = 200.0
 
@@ -86,7 +86,7 @@
     @property
     def flushed(self) -> bool:
         """Whether nothing waits to be written to the disk."""
-        return self._context.book.flushed
+        return self._context.store.flushed
 
     # ---- Life cycle ---------------------------------------------------------------------------------------
     async def start(self) -> int:
@@ -111,7 +111,7 @@
         """Let go of everything."""
         self._context.closed = True
         self._client.close()
-        self._context.book.close()
+        self._context.store.close()
 
     # ---- Servers ------------------------------------------------------------------------------------------
     def boxes_listed(self, boxes: frozenset[str]) -> None:
@@ -142,7 +142,7 @@
         """A message of this peer has come."""
         self._schedule.peer_heard(name)
 
-    def peer_changed(self, name: str, state: State, epoch: int) -> None:
+    def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
         """What is believed of a peer has changed."""
         self._schedule.peer_changed(name, state, epoch, tuple(self.membership.alive()))
 
@@ -165,7 +165,7 @@
         """Send a message that a later one repeats."""
         self._client.notify(name, path, body)
 
-    def send_to_register(self, send: Send, done: Callable[[Answered | Unanswered], None]) -> None:
+    def send_to_register(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
         """Ask a replica of the plan's register."""
         self._registers.send(send, done)
 
@@ -173,7 +173,7 @@
         """Names of those that are believed to be there, this director first."""
         return self.membership.alive()
 
-    def zone_observations(self) -> dict[str, Sight]:
+    def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
         return self._host.zone_observations()
 
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from foxlift.accord import Registers, holders_of
-from foxlift.accord.register import ChangeProgress, Send, StartTimer
+from foxlift.consensus import Proposer, replicas_of
+from foxlift.consensus.register import ChangeProgress, Send, StartTimer
 from foxlift.director import events
 from foxlift.director.cluster.context import ClusterContext
 from foxlift.director.cluster.ports import Host
@@ -56,7 +56,7 @@
 
     def __init__(self, context: ClusterContext, host: Host, registers: RegisterEndpoint) -> None:
         self._context, self._host, self._registers = context, host, registers
-        proposer = Registers(f"{context.name}.{context.boot_epoch}", context.config.seed)
+        proposer = Proposer(f"{context.name}.{context.boot_epoch}", context.config.seed)
         self._claims = claims.PaidClaims(context.name, context.boot_epoch, proposer)
         self._outcomes: dict[int, ClaimOutcome] = {}
         self._background: set[int] = set()  # of those: the ones that no set-up waits for
@@ -67,7 +67,7 @@
 
     def epoch_renewed(self) -> None:
         """Claim in the present boot epoch from now on."""
-        self._claims.run = self._context.boot_epoch
+        self._claims.boot_epoch = self._context.boot_epoch
 
     def lose(self, set_up: str) -> None:
         """Another director owns this set-up."""
@@ -168,13 +168,13 @@
     ) -> None:
         config, peers = self._context.config, self._context.config.peers
         self._outcomes[number] = outcome
-        want = claims.Want(
+        want = claims.ClaimRequested(
             number,
             f"t/{token}",  # no token's own name is another kind of key
             claim,
             (expires + config.tokens.leeway_s) * 1000,
             peers.claim_ms,
-            holders_of(token, self._context.members, peers.holders),
+            replicas_of(token, self._context.members, peers.holders),
             expected,
             self._former_replicas(token),
         )
@@ -185,18 +185,20 @@
         peers = self._context.config.peers
         if not peers.former and not peers.former_holders:
             return ()
-        return holders_of(token, peers.former or self._context.members, peers.former_holders or peers.holders)
+        return replicas_of(
+            token, peers.former or self._context.members, peers.former_holders or peers.holders
+        )
 
     def _handle(self, event: claims.Event) -> None:
         for action in self._claims.handle(self._context.now(), event):
             match action:
-                case claims.Held(number):
+                case claims.Granted(number):
                     self._finish(number).held()
                     self._start_reclaims()
-                case claims.Elsewhere(number, owner):
+                case claims.OwnedElsewhere(number, owner):
                     self._finish(number).owned_elsewhere(owner)
                     self._start_reclaims()
-                case claims.Unclaimed(number):
+                case claims.ClaimUndecided(number):
                     self._finish(number).no_quorum()
                     self._start_reclaims()
                 case Send():
@@ -210,4 +212,4 @@
 
     def _register_event(self, event: ChangeProgress) -> None:
         if not self._context.closed:
-            self._handle(claims.OfRegister(event))
+            self._handle(claims.RegisterProgress(event))
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -18,8 +18,8 @@
 from foxlift.boxes import Delivered, Hello, LinkUse, OwnershipLost, RungInForce, SessionEnded
 from foxlift.config import DirectorConfig, module_settings
 from foxlift.decide import attempts as at
-from foxlift.decide import claims as cl
 from foxlift.decide import links as ln
+from foxlift.decide import token_sessions as ts
 from foxlift.decide.driver import Driver, Trace
 from foxlift.director import events as ev
 from foxlift.logic import Director
@@ -27,17 +27,17 @@
     BoxEntry,
     BoxList,
     CacheList,
-    ListAnswer,
     ListFailed,
+    ListReceived,
     ListWatch,
     Poll,
     PollDue,
-    PollLater,
-    TellList,
+    PublishList,
+    SchedulePoll,
 )
 from foxlift.store import IntentOutcome
 from foxlift.tokens import SessionToken
-from foxlift.zones.evidence import Sight
+from foxlift.zones.evidence import ZoneObservation
 
 CONTACT_TTL_MS = 5000.0  # how long the last contact with a box counts as evidence of its zone
 
@@ -51,9 +51,9 @@
 
 
 CONTACT_OF_LOSS = {
-    at.Loss.CONNECT: Contact.REFUSED,
-    at.Loss.RESET: Contact.REFUSED,
-    at.Loss.TIMEOUT: Contact.SILENT,
+    at.CallFailure.CONNECT: Contact.REFUSED,
+    at.CallFailure.RESET: Contact.REFUSED,
+    at.CallFailure.TIMEOUT: Contact.SILENT,
 }
 
 
@@ -82,7 +82,7 @@
         self.settings = module_settings(config)
         self.module = make_module(self.settings, config.seed)
         self._driver = Driver(self.module, self._carry_out, self._fault, trace)
-        self.claims = cl.Claims(config.peers.on)
+        self.token_sessions = ts.TokenSessions(config.peers.on)
         self.attempts = at.Attempts(f"{config.name}.{boot_epoch}")
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
@@ -124,20 +124,20 @@
             case ev.ManifestRequested():
                 self._manifest_requested(event)
             case ev.ClientDisconnected(request):
-                self._claim(cl.HungUp(request))
+                self._claim(ts.ClientDisconnected(request))
             case ev.NoticeReceived(node, notice):
                 self._notice(node, notice)
             case ev.ParkedSessionMissing(number):
                 self._parked_session_missing(number)
             case ev.NoticeStreamClosed(node):
-                self._link(node, ln.Broken())
+                self._link(node, ln.Disconnected())
             case ev.LinkTimerDue(node, timer):
                 self._link(node, timer)
             case ev.ModuleTimerDue(token):
                 self._notify_module(fl.Wake(token))
             case ev.IntentRecovered(known):
                 played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
-                self._claim(cl.Recalled(known.token, known.expires, played))
+                self._claim(ts.Restored(known.token, known.expires, played))
                 # the process may have died after the box's response and before the ledger recorded it
                 expiry_ms = int(known.expires * 1000)
                 ran = lg.Ran(
@@ -150,40 +150,40 @@
                 self._sessions_taken_over(event)
             case ev.BootEpochRenewed(boot_epoch):
                 self.boot_epoch = boot_epoch
-                self._attempt(at.Renewed(f"{self.config.name}.{boot_epoch}"))
+                self._attempt(at.PrefixChanged(f"{self.config.name}.{boot_epoch}"))
             case ev.OwnershipRefused(set_up):
                 self._ownership_lost(set_up, 0)
             case ev.ZonePlanChanged(shares):
                 self._notify_module(fl.ZoneShares(shares))
-            case PollDue() | ListAnswer() | ListFailed():
+            case PollDue() | ListReceived() | ListFailed():
                 self._list(event)
             case (
                 at.IntentDurable()
                 | at.IntentFailed()
                 | at.Answered()
-                | at.Lost()
+                | at.CallFailed()
                 | at.Released()
                 | at.ReleaseFailed()
             ):
-                if isinstance(event, at.Answered | at.Lost):
+                if isinstance(event, at.Answered | at.CallFailed):
                     self._record_contact(event)
                 self._attempt(event)
         return self._actions
 
     # ---- Evidence of zones --------------------------------------------------------------------------------
-    def _record_contact(self, event: at.Answered | at.Lost) -> None:
+    def _record_contact(self, event: at.Answered | at.CallFailed) -> None:
         """Remember how a box was reached, as evidence for the state of its zone."""
         session = self.sessions.get(event.session)
         if session is None or not self.config.peers.makers:
             return
         if isinstance(event, at.Answered):
             self._contacts[session.node] = Contact.ANSWERED, self._now
-        elif event.loss in CONTACT_OF_LOSS:
-            self._contacts[session.node] = CONTACT_OF_LOSS[event.loss], self._now
+        elif event.failure in CONTACT_OF_LOSS:
+            self._contacts[session.node] = CONTACT_OF_LOSS[event.failure], self._now
 
-    def zone_evidence(self, now: float) -> dict[str, Sight]:
+    def zone_evidence(self, now: float) -> dict[str, ZoneObservation]:
         """This director's evidence of each zone: of boxes that it reached lately, and of its own demand."""
-        fleet, evidence = self.config.fleet, dict[str, Sight]()
+        fleet, evidence = self.config.fleet, dict[str, ZoneObservation]()
         self._contacts = {
             n: contact
             for n, contact in self._contacts.items()
@@ -213,7 +213,7 @@
             unreached = {
                 node for node, contact in contacts.items() if contact is Contact.SILENT
             } | silent - contacts.keys()
-            evidence[zone] = Sight(
+            evidence[zone] = ZoneObservation(
                 boxes=observed,
                 refused=sum(contact is Contact.REFUSED for contact in contacts.values()),
                 silent=len(unreached),
@@ -226,7 +226,7 @@
 
     def playing(self, token: str) -> ev.Session | None:
         """The session that a request with this token would be shown now."""
-        number = self.claims.playing(token)
+        number = self.token_sessions.playing_session(token)
         return None if number is None else self.sessions.get(number)
 
     def set_up_of(self, session: ev.Session) -> str:
@@ -243,28 +243,28 @@
         token = event.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         self._requests[event.request] = event
-        self._claim(cl.Requested(event.request, token.id, paid, token.expires, event.expired))
+        self._claim(ts.Requested(event.request, token.id, paid, token.expires, event.expired))
         self._requests.pop(event.request, None)
 
-    def _claim(self, event: cl.Event) -> None:
-        for action in self.claims.handle(self._now / 1000, event):
+    def _claim(self, event: ts.Event) -> None:
+        for action in self.token_sessions.handle(self._now / 1000, event):
             match action:
-                case cl.Open(session, request, place):
+                case ts.OpenSession(session, request, place):
                     self._open(session, self._requests[request], place)
-                case cl.Show(request, session):
+                case ts.SendManifest(request, session):
                     self._actions.append(ev.AnswerManifest(request, self.sessions[session]))
-                case cl.TellFailed(request, session):
+                case ts.SendFailure(request, session):
                     self._actions.append(ev.AnswerFailed(request, session))
-                case cl.TurnDown(request, reason):
+                case ts.Reject(request, reason):
                     self._actions.append(ev.AnswerRejected(request, reason))
-                case cl.Withdraw(session):
+                case ts.Withdraw(session):
                     self._withdraw(session)
-                case cl.AskAbout(request):
+                case ts.QueryOwner(request):
                     self._actions.append(ev.FindSession(request, self._token_of(request)))
-                case cl.TellRefused() | cl.PassOn() | cl.Adopted() | cl.Superfluous():
+                case ts.SendRefusal() | ts.Forward() | ts.Adopted() | ts.DuplicateSetUp():
                     raise AssertionError("only the caller that provokes this action handles it")
 
-    def _open(self, number: int, event: ev.ManifestRequested, parked_at: cl.Place | None) -> None:
+    def _open(self, number: int, event: ev.ManifestRequested, parked_at: ts.ParkedLocation | None) -> None:
         token, title = event.token, event.title
         klass = self._classes[token.klass]
         terms = self.settings.classes[klass]
@@ -312,17 +312,17 @@
         session = self.sessions[number]
         session.withdrawn = True
         self._notify_module(fl.Withdrawn(number))
-        self._attempt(at.CallOff(number))
-        if number in self.sessions and not self.attempts.holds(number):
+        self._attempt(at.CancelSession(number))
+        if number in self.sessions and not self.attempts.has_attempt(number):
             self._close_session(session, ran=False)
 
     def _parked_session_missing(self, number: int) -> None:
         session = self.sessions.get(number)
         if session is None:
             return
-        self._claim(cl.Lapsed(number))
+        self._claim(ts.ParkedSetUpGone(number))
         self._notify_module(fl.Withdrawn(number))
-        if self.attempts.holds(number):
+        if self.attempts.has_attempt(number):
             session.withdrawn = True  # its attempt ends with the box's response
         else:
             self._close_session(session, ran=True)
@@ -335,21 +335,27 @@
     def _token_claim_failed(self, event: ev.TokenClaimFailed) -> None:
         """Another director has the session's token: forward its requests and withdraw it from the module."""
         session = self.sessions.get(event.session)
-        if session is None or not self.attempts.holds(event.session) or session.attempt != event.attempt:
+        if (
+            session is None
+            or not self.attempts.has_attempt(event.session)
+            or session.attempt != event.attempt
+        ):
             return
         session.claim_lost = session.withdrawn = True
-        for action in self.claims.handle(self._now / 1000, cl.Elsewhere(event.session)):
-            if isinstance(action, cl.PassOn):
+        for action in self.token_sessions.handle(self._now / 1000, ts.OwnedElsewhere(event.session)):
+            if isinstance(action, ts.Forward):
                 forward = ev.ForwardRequest(action.request, event.claim)
                 self._actions.append(
-                    forward if event.quorum_reached else ev.AnswerRejected(action.request, cl.Why.UNREACHED)
+                    forward
+                    if event.quorum_reached
+                    else ev.AnswerRejected(action.request, ts.RejectionReason.OWNER_UNREACHABLE)
                 )
         self._notify_module(fl.Withdrawn(event.session))
         self._attempt(at.IntentFailed(event.session, event.attempt))
 
     def _sessions_taken_over(self, event: ev.SessionsTakenOver) -> None:
         for taken in event.sessions:
-            if self.attempts.knows(taken.set_up):
+            if self.attempts.is_known(taken.set_up):
                 self._confirm(event.node, taken)
             elif taken.token.klass in self._classes:
                 self._adopt(event, taken)
@@ -357,7 +363,7 @@
 
     def _confirm(self, node: int, taken: ev.TakenOverSession) -> None:
         """Send the rung of a session that is owned in a new epoch: commands sent meanwhile were refused."""
-        own = self.attempts.own(taken.set_up)
+        own = self.attempts.attempt_of(taken.set_up)
         session = self.sessions.get(own[0]) if own is not None else None
         if session is not None and not taken.parked_until_s and session.rung != taken.rung:
             reservation = self.reservation(session, session.rung)
@@ -367,19 +373,19 @@
         """Continue a session of its former owner; its box states since when it is owned here."""
         token = taken.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
-        parked_at = cl.Place(event.node, taken.set_up, taken.path_token)
-        adopt = cl.Adopt(token.id, paid, token.expires, parked_at, taken.parked_until_s)
-        for action in self.claims.handle(self._now / 1000, adopt):
+        parked_at = ts.ParkedLocation(event.node, taken.set_up, taken.path_token)
+        adopt = ts.Adopt(token.id, paid, token.expires, parked_at, taken.parked_until_s)
+        for action in self.token_sessions.handle(self._now / 1000, adopt):
             match action:
-                case cl.Withdraw(session):
+                case ts.Withdraw(session):
                     self._withdraw(session)
-                case cl.Superfluous():
-                    self._attempt(at.Drop(taken.set_up, event.node))
-                case cl.Adopted(number):
+                case ts.DuplicateSetUp():
+                    self._attempt(at.ReleaseUnwanted(taken.set_up, event.node))
+                case ts.Adopted(number):
                     self._resume(number, event, taken, paid)
-                case cl.Show(request, session):
+                case ts.SendManifest(request, session):
                     self._actions.append(ev.AnswerManifest(request, self.sessions[session]))
-                case cl.AskAbout(request):
+                case ts.QueryOwner(request):
                     self._actions.append(ev.FindSession(request, token.id))
 
     def _resume(
@@ -400,7 +406,7 @@
         session.owned_since_ms = taken.owned_since_ms
         self.sessions[number] = session
         self._require_link(event.node)
-        self._attempt(at.Resumes(number, event.node, taken.rung, taken.set_up, event.boot, event.counter))
+        self._attempt(at.Resume(number, event.node, taken.rung, taken.set_up, event.boot, event.counter))
         self._actions.append(ev.WriteLedgerEntry(self._opened(session, taken.owned_since_ms, taken.set_up)))
         self._notify_module(
             fl.Resumed(self._ask(session, taken.title.first_cell, taken.title.holders, 0.0), event.node)
@@ -409,16 +415,16 @@
 
     def _ownership_lost(self, set_up: str, ended_ms: int) -> None:
         """Another director owns the session now: by the box's clock, it ends here when it begins there."""
-        attempt = self.attempts.own(set_up)
-        if attempt is None or not self.attempts.knows(set_up):
+        attempt = self.attempts.attempt_of(set_up)
+        if attempt is None or not self.attempts.is_known(set_up):
             self._actions.append(ev.DropOwnership(set_up))
-            self._claim(cl.Lost(set_up))
+            self._claim(ts.ParkedTakenOver(set_up))
             return
         session = self.sessions.get(attempt[0])
         if session is not None and 0 < ended_ms < session.owned_since_ms:
             return  # about an earlier period in which this director owned it
         self._actions.append(ev.DropOwnership(set_up))
-        self._claim(cl.Elsewhere(attempt[0]))
+        self._claim(ts.OwnedElsewhere(attempt[0]))
         self._attempt(at.EndedAtBox(*attempt, fl.Outcome.CANCELLED, ended_ms))
 
     # ---- The module ---------------------------------------------------------------------------------------
@@ -426,7 +432,7 @@
         self._actions.append(ev.WriteLog("exception", detail=message))
 
     def _notify_module(self, event: fl.Event) -> None:
-        self._driver.tell(self._now, event)
+        self._driver.deliver(self._now, event)
 
     def _carry_out(self, action: fl.Action) -> None:
         match action:
@@ -434,19 +440,19 @@
                 session = self.sessions.get(number)
                 if session is not None:
                     session.rung = rung
-                    self._attempt(at.Rung(number, rung))
+                    self._attempt(at.RungChanged(number, rung))
             case fl.SetUp():
                 self._set_up(action)
             case fl.Refuse(number, come_back_ms):
                 self._refuse(number, come_back_ms)
             case fl.Fail(number):
                 self._count_rejected(number, "failed")
-                self._claim(cl.Failed(number))
+                self._claim(ts.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
                 self._actions.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
             case fl.Cancel(number) | fl.Move(number):
-                self._attempt(at.CallOff(number))
+                self._attempt(at.CancelSession(number))
             case fl.Log(text):
                 self._actions.append(ev.WriteLog("module", detail=text))
             case fl.WatchList() | fl.FetchList():
@@ -479,8 +485,8 @@
 
     def _refuse(self, number: int, come_back_ms: float) -> None:
         self._count_rejected(number, "refused")
-        for answer in self.claims.handle(self._now / 1000, cl.Refused(number)):
-            if isinstance(answer, cl.TellRefused):
+        for answer in self.token_sessions.handle(self._now / 1000, ts.Refused(number)):
+            if isinstance(answer, ts.SendRefusal):
                 self._actions.append(ev.AnswerRefused(answer.request, number, come_back_ms))
         self._forget(number)
 
@@ -494,7 +500,7 @@
         self.sessions.pop(session.number, None)
         session.closed = True
         self._actions.append(ev.SessionClosed(session))
-        self._claim(cl.Over(session.number, ran))
+        self._claim(ts.SessionEnded(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
@@ -515,20 +521,20 @@
                     box = self.boxes[node].name
                     set_up = self.attempts.set_up_id(number, attempt)
                     self._actions.append(ev.PersistIntent(number, attempt, session.token, box, set_up, node))
-                case at.Put():
+                case at.StartSetUp():
                     self._put(action)
-                case at.PutRung(number, attempt, node, rung):
+                case at.SendRung(number, attempt, node, rung):
                     set_up = self.attempts.set_up_id(number, attempt)
                     reservation = self.reservation(self.sessions[number], rung)
                     self._actions.append(ev.ChangeRung(set_up, node, rung, reservation))
-                case at.TellStarted():
+                case at.ReportStarted():
                     self._started(action)
-                case at.TellEnded():
+                case at.ReportEnded():
                     self._ended(action)
-                case at.AbortPut() | at.Release():
+                case at.AbortSetUp() | at.Release():
                     self._actions.append(action)
 
-    def _put(self, put: at.Put) -> None:
+    def _put(self, put: at.StartSetUp) -> None:
         session = self.sessions[put.session]
         self._actions.append(
             ev.SendSetUp(
@@ -538,17 +544,19 @@
                 node=put.node,
                 rung=put.rung,
                 reservation=self.reservation(session, put.rung),
-                timeout_ms=max(put.until - self._now, 1.0),
+                timeout_ms=max(put.timeout_at - self._now, 1.0),
             )
         )
 
-    def _started(self, event: at.TellStarted) -> None:
+    def _started(self, event: at.ReportStarted) -> None:
         session = self.sessions[event.session]
-        session.started_ms, session.owned_since_ms = self._now, event.when
+        session.started_ms, session.owned_since_ms = self._now, event.box_time_ms
         if session.paid and session.parked_at is None:
             self._actions.append(ev.RecordIntentOutcome(session.token.id, IntentOutcome.STARTED))
         set_up = self.attempts.set_up_id(event.session, event.attempt)
-        self._actions.append(ev.WriteLedgerEntry(self._opened(session, event.when or int(self._now), set_up)))
+        self._actions.append(
+            ev.WriteLedgerEntry(self._opened(session, event.box_time_ms or int(self._now), set_up))
+        )
         self._notify_module(fl.Started(event.session, event.node, event.attempt, 0.0))
         if event.load is not None:
             for kind, value in (
@@ -558,7 +566,7 @@
             ):
                 if value is not None:
                     self._notify_module(fl.Note(event.session, event.node, kind, value))
-        self._claim(cl.Plays(event.session))
+        self._claim(ts.SessionStarted(event.session))
 
     def _opened(self, session: ev.Session, started_ms: int, set_up: str) -> lg.Started:
         token = session.token
@@ -575,22 +583,22 @@
             self._box_name(session.node),
         )
 
-    def _ended(self, event: at.TellEnded) -> None:
+    def _ended(self, event: at.ReportEnded) -> None:
         session = self.sessions[event.session]
-        ran = event.playing or not event.outcome.proves_unrun
+        ran = event.had_started or not event.outcome.proves_unrun
         set_up = event.set_up
-        has_intent = session.parked_at is None or event.playing
+        has_intent = session.parked_at is None or event.had_started
         if session.paid and not event.parked and has_intent and not session.claim_lost:
             intent_outcome = (
                 IntentOutcome.ENDED
-                if event.playing
+                if event.had_started
                 else IntentOutcome.MAY_HAVE_RUN
                 if ran
                 else IntentOutcome.NEVER_RAN
             )
             self._actions.append(ev.RecordIntentOutcome(session.token.id, intent_outcome))
-        if event.playing:
-            ended = lg.Ended(event.when or int(self._now), set_up, estimated=not event.when)
+        if event.had_started:
+            ended = lg.Ended(event.box_time_ms or int(self._now), set_up, estimated=not event.box_time_ms)
             self._actions.append(ev.WriteLedgerEntry(ended))
         elif session.paid and ran and session.parked_at is None:
             # the box may have run it: it is charged once, and marked as estimated
@@ -598,9 +606,9 @@
             expiry_ms = self._expiry_ms(token)
             charge = lg.Ran(int(self._now), set_up, token.id, token.tenant, token.klass, True, expiry_ms)
             self._actions.append(ev.WriteLedgerEntry(charge))
-        final = event.playing or session.withdrawn
-        if event.playing or event.outcome is not fl.Outcome.OK:
-            detail = f"{event.outcome.value}{', was playing' if event.playing else ''}"
+        final = event.had_started or session.withdrawn
+        if event.had_started or event.outcome is not fl.Outcome.OK:
+            detail = f"{event.outcome.value}{', was playing' if event.had_started else ''}"
             self._actions.append(
                 ev.WriteLog("attempt ended", event.session, self._box_name(event.node), detail)
             )
@@ -609,7 +617,9 @@
             session.closed = True
             self._actions.append(ev.SessionClosed(session))
             until = self._now / 1000 + self.config.boxes.park_s
-            self._claim(cl.Parked(session.number, until, cl.Place(event.node, set_up, session.path_token)))
+            self._claim(
+                ts.Parked(session.number, until, ts.ParkedLocation(event.node, set_up, session.path_token))
+            )
         elif final:
             self._close_session(session, ran)
         self._notify_module(
@@ -630,13 +640,13 @@
         if node not in self.links:
             config = self.config.boxes
             self.links[node] = ln.Link(config.notice_retry_ms, config.lost_after_ms)
-        self._link(node, ln.Wanted())
+        self._link(node, ln.StreamNeeded())
 
     def _release_link(self, node: int) -> None:
         """Close the stream of a box without sessions, but only if the box is no longer listed: the next
         session may come soon."""
-        if node not in self.boxes and node in self.links and not self.attempts.at(node):
-            self._link(node, ln.Unwanted())
+        if node not in self.boxes and node in self.links and not self.attempts.count_at(node):
+            self._link(node, ln.StreamUnneeded())
             del self.links[node]
             self._silent.pop(node, None)
 
@@ -650,17 +660,17 @@
                     self._actions.append(ev.OpenNoticeStream(node))
                 case ln.CloseStream():
                     self._actions.append(ev.CloseNoticeStream(node))
-                case ln.Retry(delay_ms, turn):
+                case ln.StartRetryTimer(delay_ms, turn):
                     self._actions.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.RetryDue(turn))))
-                case ln.Await(delay_ms, turn):
-                    self._actions.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossDue(turn))))
-                case ln.AllLost() if self._is_in_grace(node):
+                case ln.StartLossTimer(delay_ms, turn):
+                    self._actions.append(ev.StartTimer(delay_ms, ev.LinkTimerDue(node, ln.LossTimeout(turn))))
+                case ln.AllSessionsLost() if self._is_in_grace(node):
                     pass
-                case ln.AllLost():
-                    if self.attempts.at(node):
+                case ln.AllSessionsLost():
+                    if self.attempts.count_at(node):
                         self._actions.append(ev.WriteLog("box silent", node=self._box_name(node)))
                     self._attempt(at.BoxLost(node))
-                case ln.Compare():
+                case ln.CompareSessions():
                     pass  # `_notice` compares, with the content of hello
 
     def _is_in_grace(self, node: int) -> bool:
@@ -672,15 +682,19 @@
     def _notice(self, node: int, notice: object) -> None:
         match notice:
             case Hello(boot, counter, sessions, ended):
-                self._link(node, ln.Greeted())
+                self._link(node, ln.HelloReceived())
                 for end in ended:
-                    if self.attempts.own(end.session) is not None:
+                    if self.attempts.attempt_of(end.session) is not None:
                         self._notice(node, end)
                 self._silent.pop(node, None)
                 held = frozenset(sessions)
                 if self.config.peers.on:
                     # set-ups unknown here were taken over: the response with them is late, or was lost
-                    foreign = {s for s in held if not self.attempts.knows(s) and self.attempts.own(s) is None}
+                    foreign = {
+                        s
+                        for s in held
+                        if not self.attempts.is_known(s) and self.attempts.attempt_of(s) is None
+                    }
                     held -= foreign
                     if foreign:
                         self._actions.append(ev.FetchTakenOver(node))
@@ -700,30 +714,30 @@
                 self._actions.append(ev.WriteLedgerEntry(lg.Rerung(at_ms or int(self._now), set_up, rung)))
                 self._note(node, set_up, fl.NoteKind.RUNG, float(rung))
             case SessionEnded(set_up, how, at_ms):
-                attempt = self.attempts.own(set_up)
+                attempt = self.attempts.attempt_of(set_up)
                 if attempt is not None:
                     outcome = OUTCOME_OF_END.get(how, fl.Outcome.RESET)
                     self._attempt(at.EndedAtBox(*attempt, outcome, at_ms, how == "parked"))
 
     def _note(self, node: int, set_up: str, kind: fl.NoteKind, value: float) -> None:
-        attempt = self.attempts.own(set_up)
-        if attempt is not None and self.attempts.plays_at(attempt[0]) == (node, attempt[1]):
+        attempt = self.attempts.attempt_of(set_up)
+        if attempt is not None and self.attempts.playing_at(attempt[0]) == (node, attempt[1]):
             self._notify_module(fl.Note(attempt[0], node, kind, value))
 
     # ---- Box list -----------------------------------------------------------------------------------------
-    def _list(self, event: PollDue | ListAnswer | ListFailed) -> None:
+    def _list(self, event: PollDue | ListReceived | ListFailed) -> None:
         for action in self.watch.handle(event):
             match action:
-                case TellList():
+                case PublishList():
                     self._list_changed(action)
                 case CacheList(boxes):
                     self._actions.append(ev.SaveBoxList(boxes))
-                case PollLater(delay_ms):
+                case SchedulePoll(delay_ms):
                     self._actions.append(ev.StartTimer(delay_ms, PollDue()))
                 case Poll():
                     self._actions.append(action)
 
-    def _list_changed(self, update: TellList) -> None:
+    def _list_changed(self, update: PublishList) -> None:
         if update.kind is fl.ListKind.FAILED:
             self._actions.append(ev.WriteLog("box list not received"))
             self._notify_module(fl.NodeList(fl.ListKind.FAILED))
@@ -744,11 +758,11 @@
             if info.status is fl.Status.DRAINING:
                 closed.append((info.node, False))
             else:
-                self._attempt(at.Serves(info.node))
+                self._attempt(at.BoxReady(info.node))
         # the module first: it may place the sessions stopped below anew at once, but not at a box that drains
         self._notify_module(fl.NodeList(update.kind, tuple(infos)))
         for node, removed in closed:
-            self._attempt(at.Drains(node, removed))
+            self._attempt(at.BoxDraining(node, removed))
             self._release_link(node)
         if self.config.peers.on:
             self._actions.append(ev.UpdateListedBoxes(frozenset(box.name for box in self.boxes.values())))
--- a/foxlift/director/daemon.py
+++ b/foxlift/director/daemon.py
@@ -20,7 +20,7 @@
 from foxlift.catalogue import Catalogue, load_catalogue
 from foxlift.config import DirectorConfig
 from foxlift.decide import attempts
-from foxlift.decide.claims import Why
+from foxlift.decide.token_sessions import RejectionReason
 from foxlift.director import events
 from foxlift.director.answers import Answers
 from foxlift.director.authorizer import HttpProblem, RequestAuthorizer
@@ -202,7 +202,7 @@
         """Accept no new sessions, respond to pending requests and let sessions play on for `grace_ms`."""
         grace_ms = self.config.front.stop_time_ms if grace_ms is None else grace_ms
         self.stopping = True
-        self.log.info("stopping", playing=self.core.attempts.live, waiting=self.core.waiting)
+        self.log.info("stopping", playing=self.core.attempts.live_count, waiting=self.core.waiting)
         deadline_s = self.loop.time() + grace_ms / 1000
         if self.cluster is not None:
             self.cluster.service.leave()  # the other directors take over the playing sessions
@@ -291,7 +291,7 @@
             # HEAD starts no session: it shows what a GET would show of one that plays
             self.answers.reply_to_head(exchange, manifest_request, self.core.playing(token.id))
             return
-        new_while_stopping = self.stopping and self.core.claims.is_new(token.id)
+        new_while_stopping = self.stopping and self.core.token_sessions.is_new(token.id)
         if new_while_stopping and (self.cluster is None or forwarded):
             exchange.reply_problem(421 if forwarded else 503, "stopping", extra=(("retry-after", "1"),))
             return
@@ -301,7 +301,7 @@
         exchange.on_disconnect = lambda: self._client_disconnected(number)
         if new_while_stopping and self.cluster is not None:
             if not self.cluster.service.forwarder.forward_to_any(number, token.id):
-                self.answers.reject(number, Why.UNREACHED)
+                self.answers.reject(number, RejectionReason.OWNER_UNREACHABLE)
             return
         if self.cluster is None or not self.cluster.asked(number, forwarded):
             self.ask_core(number)
@@ -349,7 +349,7 @@
         match action:
             case events.SendSetUp():
                 self._put(action)
-            case events.ChangeRung() | attempts.AbortPut() | attempts.Release():
+            case events.ChangeRung() | attempts.AbortSetUp() | attempts.Release():
                 self.commands.send(action)
             case events.PersistIntent() | events.RecordIntentOutcome() | events.WriteLedgerEntry():
                 self._record(action)
@@ -392,9 +392,9 @@
                 if self.cluster is not None:
                     self.cluster.carry_out(action)
 
-    def _come_back_ms(self, reason: Why) -> float:
+    def _come_back_ms(self, reason: RejectionReason) -> float:
         """The time after which a viewer may come back, 0 if it is not stated."""
-        if self.cluster is None or reason is not Why.UNREACHED:
+        if self.cluster is None or reason is not RejectionReason.OWNER_UNREACHABLE:
             return 0.0
         return self.cluster.come_back_ms()
 
--- a/foxlift/director/events.py
+++ b/foxlift/director/events.py
@@ -6,10 +6,10 @@
 
 from foxlift.boxes import BoxNotice
 from foxlift.catalogue import Title
-from foxlift.decide import attempts, claims, links
+from foxlift.decide import attempts, links, token_sessions
 from foxlift.http import Headers
 from foxlift.ledger import Ended, Ran, Rerung, Started, TurnedAway
-from foxlift.membership import BoxList, ListAnswer, ListFailed, Poll, PollDue
+from foxlift.membership import BoxList, ListFailed, ListReceived, Poll, PollDue
 from foxlift.recovery.claims import Claim
 from foxlift.store import IntentOutcome, RecoveredIntent
 from foxlift.tokens import SessionToken
@@ -61,7 +61,7 @@
     """A timer of a link is due."""
 
     node: int
-    event: links.RetryDue | links.LossDue
+    event: links.RetryDue | links.LossTimeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,12 +153,12 @@
     | OwnershipRefused
     | ZonePlanChanged
     | PollDue
-    | ListAnswer
+    | ListReceived
     | ListFailed
     | attempts.IntentDurable
     | attempts.IntentFailed
     | attempts.Answered
-    | attempts.Lost
+    | attempts.CallFailed
     | attempts.Released
     | attempts.ReleaseFailed
 )
@@ -175,7 +175,7 @@
     klass: int
     paid: bool
     path_token: str
-    parked_at: claims.Place | None = None  # if the session resumes a parked one
+    parked_at: token_sessions.ParkedLocation | None = None  # if the session resumes a parked one
     top: int = 0  # the highest rung that it may get
     rung: int = 0
     node: int = 0
@@ -221,7 +221,7 @@
     """Respond with a problem, without a session."""
 
     request: int
-    reason: claims.Why
+    reason: token_sessions.RejectionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -386,7 +386,7 @@
     | RecordIntentOutcome
     | SendSetUp
     | ChangeRung
-    | attempts.AbortPut
+    | attempts.AbortSetUp
     | attempts.Release
     | OpenNoticeStream
     | CloseNoticeStream
--- a/foxlift/director/list_client.py
+++ b/foxlift/director/list_client.py
@@ -12,7 +12,7 @@
 
 from foxlift.config import DirectorConfig
 from foxlift.http import Failure, Pool, PoolLimits, Response
-from foxlift.membership import BoxList, ListAnswer, ListError, ListFailed, read_response
+from foxlift.membership import BoxList, ListError, ListFailed, ListReceived, read_response
 from foxlift.membership.boxlist import encode_full
 from foxlift.store import FilePort
 
@@ -31,7 +31,7 @@
         config: DirectorConfig,
         loop: asyncio.AbstractEventLoop,
         files: FilePort,
-        feed: Callable[[ListAnswer | ListFailed], None],
+        feed: Callable[[ListReceived | ListFailed], None],
     ) -> None:
         self._name, self._poll_ms = config.name, config.box_list.poll_ms
         self._files, self._feed = files, feed
@@ -90,7 +90,7 @@
             self._feed(ListFailed())
             return
         if result.status == 304:
-            self._feed(ListAnswer(None))
+            self._feed(ListReceived(None))
             return
         try:
             update = read_response(result.body)
@@ -98,4 +98,4 @@
             self._log.warning("box list invalid", detail=str(error))
             self._feed(ListFailed(unreadable=True))
             return
-        self._feed(ListAnswer(update))
+        self._feed(ListReceived(update))
--- /dev/null
+++ b/foxlift/platform/discovery_watch.py
@@ -0,0 +1,262 @@
+"""The watch of the coordinator's server list: reads its frames and decides when to reconnect. No I/O.
+
+    state    event                            next     action
+    (none)   start                            OPENING  connect
+    OPENING  ConnectionOpened                 OPEN     request updates after the last one received
+    OPEN     frames with new updates          OPEN     deliver each update once, in order
+    OPEN     gap or invalid frame             WAITING  close, request again from the last update received
+    OPEN     nothing for SILENCE_TIMEOUT_MS   WAITING  close, reconnect
+    OPENING  not up in CONNECT_TIMEOUT_MS     WAITING  close, reconnect
+    any      ConnectionClosed                 WAITING  reconnect after a wait that doubles with each failure
+    any      AddressChanged                   OPENING  close, connect to the new address at once
+    WAITING  TimerExpired                     OPENING  connect
+
+The platform assumes that a director knows of a drain even while its watch is down, so waits are short: the
+first is 20 ms, the longest half a second, each with jitter from the director's own random source so that a
+fleet does not reconnect at the same moment.
+"""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+from enum import Enum
+from random import Random
+
+from foxlift import interface as fl
+from foxlift.platform.settings import Address, ListedServer, ListUpdate
+
+SILENCE_TIMEOUT_MS = 1800.0  # an empty frame is sent each second
+CONNECT_TIMEOUT_MS = 700.0  # time for a connection to come up
+FIRST_BACKOFF_MS = 20.0
+MAX_BACKOFF_MS = 500.0
+MAX_FRAME_BYTES = 27 * 65536 + 9  # a full list of 65,536 servers
+MAX_MISREADS = 3  # consecutive gaps or invalid frames after which the full list is requested
+
+_FRAME_HEADER = struct.Struct(">IQB")
+_SERVER_RECORD = struct.Struct(">I4BHBBBHIQ")
+_STATUSES = {0: fl.Status.READY, 1: fl.Status.DRAINING, 2: fl.Status.GONE}
+
+
+class ProtocolError(ValueError):
+    """The coordinator's bytes are invalid; the connection cannot be read any further."""
+
+
+@dataclass(frozen=True, slots=True)
+class Frame:
+    """One frame. `update` is None for an empty frame."""
+
+    number: int
+    update: ListUpdate | None
+
+
+class FrameReader:
+    """Parses the coordinator's bytes into frames."""
+
+    def __init__(self, zones: int, kinds: int, cells: int) -> None:
+        """Set the numbers of zones, kinds and cells in the settings; a record outside them is invalid."""
+        self._bounds = zones, kinds, cells
+        self._buffer = bytearray()
+
+    def feed(self, data: bytes) -> list[Frame]:
+        """Add bytes and return the complete frames. Raises ProtocolError."""
+        self._buffer += data
+        frames: list[Frame] = []
+        while len(self._buffer) >= 4:
+            length = int.from_bytes(self._buffer[:4], "big")
+            if not 9 <= length <= MAX_FRAME_BYTES:
+                raise ProtocolError(f"frame of {length} bytes, not of 9 to {MAX_FRAME_BYTES}")
+            if len(self._buffer) < 4 + length:
+                break
+            frames.append(self._frame(bytes(self._buffer[: 4 + length])))
+            del self._buffer[: 4 + length]
+        return frames
+
+    def _frame(self, data: bytes) -> Frame:
+        _, number, kind = _FRAME_HEADER.unpack_from(data)
+        body = data[_FRAME_HEADER.size :]
+        if kind == 0:
+            return Frame(number, None)
+        if kind > 2 or len(body) % _SERVER_RECORD.size:
+            raise ProtocolError(f"frame of kind {kind} with {len(body)} bytes")
+        servers = tuple(self._server(record) for record in _SERVER_RECORD.iter_unpack(body))
+        return Frame(number, ListUpdate(number, kind == 1, servers))
+
+    def _server(self, record: tuple[int, ...]) -> ListedServer:
+        node, a, b, c, d, port, state, zone, kind, cell, weight, started = record
+        zones, kinds, cells = self._bounds
+        if state not in _STATUSES or zone >= zones or kind >= kinds or cell >= cells or not port:
+            raise ProtocolError("record of an unknown status, zone, kind or cell, or without a port")
+        info = fl.NodeInfo(node, zone, kind, cell, _STATUSES[state], weight / 1000, float(started))
+        return ListedServer(info, Address(f"{a}.{b}.{c}.{d}", port))
+
+
+# ---- Events -----------------------------------------------------------------------------------------------
+@dataclass(frozen=True, slots=True)
+class TimerExpired:
+    """A timer has expired; `timer_id` is that of its StartTimer."""
+
+    timer_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionOpened:
+    """The connection is up."""
+
+
+@dataclass(frozen=True, slots=True)
+class FramesReceived:
+    """Frames were received."""
+
+    frames: tuple[Frame, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionClosed:
+    """The connection was lost or could not be made."""
+
+
+@dataclass(frozen=True, slots=True)
+class AddressChanged:
+    """The configuration names this address of the coordinator."""
+
+    address: Address
+
+
+Event = TimerExpired | ConnectionOpened | FramesReceived | ConnectionClosed | AddressChanged
+
+
+# ---- Actions ----------------------------------------------------------------------------------------------
+@dataclass(frozen=True, slots=True)
+class OpenConnection:
+    """Open a connection."""
+
+    address: Address
+
+
+@dataclass(frozen=True, slots=True)
+class RequestUpdates:
+    """Write `data`: the number of the last update received, or 0 for the full list."""
+
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class CloseConnection:
+    """Close the connection, or stop connecting."""
+
+
+@dataclass(frozen=True, slots=True)
+class DeliverUpdate:
+    """Deliver an update of the coordinator that is new."""
+
+    update: ListUpdate
+
+
+@dataclass(frozen=True, slots=True)
+class StartTimer:
+    """Send TimerExpired with this `timer_id` after `delay_ms`."""
+
+    delay_ms: float
+    timer_id: int
+
+
+Action = OpenConnection | RequestUpdates | CloseConnection | DeliverUpdate | StartTimer
+
+
+class _State(Enum):
+    WAITING = "waiting"
+    OPENING = "opening"
+    OPEN = "open"
+
+
+class DiscoveryWatch:
+    """Keeps the number of the last update, the state of the connection and the time to reconnect."""
+
+    def __init__(self, address: Address, number: int, seed: int) -> None:
+        self.address, self.number = address, number
+        self.gaps = 0  # number of gaps in the update numbers; like the next, for the log
+        self.reconnects = 0
+        self._random = Random(seed)
+        self._state = _State.WAITING
+        self._timer_id = 0  # of the current timer; earlier timers are ignored
+        self._failures = 0
+        self._misreads = 0  # consecutive gaps and invalid frames
+        self._last_received_at = 0.0
+
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Handle one event and return the actions; `now` in ms."""
+        match event:
+            case TimerExpired(timer_id):
+                return self._timer_expired(now, timer_id)
+            case ConnectionOpened():
+                if self._state is not _State.OPENING:
+                    return []
+                self._state, self._last_received_at = _State.OPEN, now
+                full = self._misreads >= MAX_MISREADS
+                request = RequestUpdates((0 if full else self.number).to_bytes(8, "big"))
+                return [request, self._start_timer(SILENCE_TIMEOUT_MS)]
+            case FramesReceived(frames):
+                return self._frames_received(now, frames) if self._state is _State.OPEN else []
+            case ConnectionClosed():
+                return [] if self._state is _State.WAITING else self._retry(close=False)
+            case AddressChanged(address):
+                if address == self.address and self._state is not _State.WAITING:
+                    return []
+                self.address, self._failures = address, 0
+                return [CloseConnection(), *self._connect()]
+
+    def start(self) -> list[Action]:
+        """Open the first connection, unless AddressChanged has already opened one."""
+        return [] if self.reconnects else self._connect()
+
+    def _start_timer(self, delay_ms: float) -> StartTimer:
+        self._timer_id += 1
+        return StartTimer(delay_ms, self._timer_id)
+
+    def _connect(self) -> list[Action]:
+        self._state = _State.OPENING
+        self.reconnects += 1
+        return [OpenConnection(self.address), self._start_timer(CONNECT_TIMEOUT_MS)]
+
+    def _timer_expired(self, now: float, timer_id: int) -> list[Action]:
+        if timer_id != self._timer_id:
+            return []
+        match self._state:
+            case _State.WAITING:
+                return self._connect()
+            case _State.OPENING:
+                return self._retry(close=True)
+            case _State.OPEN:
+                left = self._last_received_at + SILENCE_TIMEOUT_MS - now
+                return [self._start_timer(left)] if left > 0 else self._retry(close=True)
+
+    def _retry(self, close: bool) -> list[Action]:
+        self._state = _State.WAITING
+        wait = min(FIRST_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS) * self._random.uniform(0.75, 1.25)
+        self._failures = min(self._failures + 1, 10)
+        return [*([CloseConnection()] if close else []), self._start_timer(wait)]
+
+    def _frames_received(self, now: float, frames: tuple[Frame, ...]) -> list[Action]:
+        self._last_received_at = now
+        actions: list[Action] = []
+        for frame in frames:
+            if frame.update is None:
+                self._failures = 0
+                continue
+            full = frame.update.full
+            if frame.number <= self.number and not (full and self._misreads >= MAX_MISREADS):
+                continue  # already received, or an old list
+            if not full and frame.number != self.number + 1:
+                self.gaps += 1
+                return [*actions, *self.resynchronize()]
+            self.number, self._misreads, self._failures = max(frame.number, self.number), 0, 0
+            actions.append(DeliverUpdate(frame.update))
+        return actions
+
+    def resynchronize(self) -> list[Action]:
+        """Reconnect after an invalid frame or a gap."""
+        if self._state is not _State.OPEN:
+            return []
+        self._misreads = min(self._misreads + 1, MAX_MISREADS)
+        return self._retry(close=True)
--- a/foxlift/platform/events.py
+++ b/foxlift/platform/events.py
@@ -1,4 +1,4 @@
-"""What the platform's core is told and what it wants done; `foxlift/platform/core.py` says when."""
+"""Events and actions of the platform director's core (`foxlift/platform/core.py`)."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from foxlift import interface as fl
 from foxlift.platform import rtsp, viewers
-from foxlift.platform.settings import Address, Told
+from foxlift.platform.settings import Address, ListUpdate
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class FromViewer:
-    """A viewer's message. `waited_ms`: how long it may have lain unread while this process stood still."""
+class ViewerMessageReceived:
+    """A viewer sent a message. `waited_ms`: how long it may have been unread because the process was busy."""
 
     conn: int
     message: viewers.Event
@@ -20,15 +20,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewerGone:
-    """A viewer's connection is over."""
+class ViewerDisconnected:
+    """A viewer's connection has closed."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class FromBox:
-    """A box's message on one of its connections."""
+class ServerMessageReceived:
+    """A server sent a message on one of its connections."""
 
     node: int
     conn: int
@@ -36,148 +36,148 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxConnectionLost:
-    """A connection to a box is over, or `spoilt`: what came on it cannot be read."""
+class ServerConnectionLost:
+    """A connection to a server has closed. `corrupt`: because what it received is invalid."""
 
     node: int
     conn: int
-    spoilt: bool = False
+    corrupt: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Unreached:
-    """No connection to that box for a set-up: nothing of it has left."""
+class SetupNotSent:
+    """There is no connection to the server for a set-up: nothing of it was sent."""
 
     session: int
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class BoxLost:
-    """What played at a box is over."""
+class ServerLost:
+    """A server was lost, and with it the sessions that played there."""
 
     node: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptDue:
-    """The time of an attempt is up."""
+class AttemptTimedOut:
+    """The time limit of an attempt has passed."""
 
     session: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class HandoverDue:
-    """A session was handed over whose box the list still does not name."""
+class HandoverTimedOut:
+    """The list still does not name the server of a session that was handed over."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
-class LastAnswers:
-    """The process ends soon: every request that is still open gets its answer now."""
+class ShutdownImminent:
+    """The process exits soon: every open request must be answered now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """An event of the coordinator, also out of the configuration: it holds what was told until the start."""
+class ListUpdated:
+    """An update of the server list, by the coordinator or, for those before the start, the configuration."""
 
-    told: Told
+    update: ListUpdate
 
 
 Event = (
-    FromViewer
-    | ViewerGone
-    | FromBox
-    | BoxConnectionLost
-    | Unreached
-    | BoxLost
-    | AttemptDue
-    | HandoverDue
-    | LastAnswers
-    | Listed
+    ViewerMessageReceived
+    | ViewerDisconnected
+    | ServerMessageReceived
+    | ServerConnectionLost
+    | SetupNotSent
+    | ServerLost
+    | AttemptTimedOut
+    | HandoverTimedOut
+    | ShutdownImminent
+    | ListUpdated
     | fl.Wake
 )
 
 
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class ToViewer:
-    """Write to a viewer's connection; nothing, where that is closed."""
+class SendToViewer:
+    """Write to a viewer's connection; ignored if it is closed."""
 
     conn: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ViewerSessions:
-    """So many more sessions belong to a viewer's connection."""
+class ChangeViewerSessions:
+    """Add `change` to the number of sessions of a viewer's connection."""
 
     conn: int
-    more: int
+    change: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProtocolError:
-    """What came on a viewer's connection made no sense."""
+class RecordProtocolError:
+    """Count an invalid message on a viewer's connection."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class SendSetUp:
-    """Send a set-up to a box when there is a connection: its bytes are then asked for by `Core.take`."""
+class QueueSetup:
+    """Send a set-up to a server once there is a connection, with the bytes from `Core.take_setup`."""
 
     session: int
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class StopSetUp:
-    """A set-up that has not left is not wanted any more."""
+class CancelSetup:
+    """Drop a set-up that was not sent."""
 
     session: int
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class ToBox:
-    """Write to a box, on this connection if it is up, else on any. `only`: not on any other."""
+class SendToServer:
+    """Write to a server, on this connection if it is up, else on any unless `this_connection_only`."""
 
     node: int
     conn: int
     data: bytes
-    only: bool = False
+    this_connection_only: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class SetUpEnded:
-    """A set-up that had left on the connection has its end."""
+class SetupFinished:
+    """A set-up that was sent on the connection is answered or has failed."""
 
     node: int
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class BoxListed:
-    """A box is on the list, at this address."""
+class AddServer:
+    """The list names a server, at this address."""
 
     node: int
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
-class BoxGone:
-    """A box is off the list."""
+class RemoveServer:
+    """The list no longer names a server."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """So many sessions play at a box now."""
+class SetSessionCount:
+    """Set the number of sessions that play at a server."""
 
     node: int
     count: int
@@ -185,31 +185,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Send the event after so many milliseconds."""
+    """Send the event after `delay_ms`."""
 
     delay_ms: float
-    event: AttemptDue | HandoverDue | fl.Wake
+    event: AttemptTimedOut | HandoverTimedOut | fl.Wake
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """A line for the log."""
+class WriteLog:
+    """Write a line to the log."""
 
-    what: str
+    log_event: str
     detail: str = ""
 
 
 Action = (
-    ToViewer
-    | ViewerSessions
-    | ProtocolError
-    | SendSetUp
-    | StopSetUp
-    | ToBox
-    | SetUpEnded
-    | BoxListed
-    | BoxGone
-    | Standing
+    SendToViewer
+    | ChangeViewerSessions
+    | RecordProtocolError
+    | QueueSetup
+    | CancelSetup
+    | SendToServer
+    | SetupFinished
+    | AddServer
+    | RemoveServer
+    | SetSessionCount
     | StartTimer
-    | Say
+    | WriteLog
 )
--- a/foxlift/platform/stop.py
+++ b/foxlift/platform/stop.py
@@ -1,20 +1,21 @@
-"""When a director that was told to stop may end. No I/O.
-
-    state     event                                   next      what is done
-    SERVING   Told                                    STAYING
-    STAYING   Look, requests may still arrive         STAYING
-    STAYING   Look, something is owed                 STAYING
-    STAYING   Look, the last moments for answers      STAYING   every request still open gets its answer
-    STAYING   Look, nothing owed or no time left      LOOKING   look at the sockets again
-    LOOKING   Look, something came or is owed         STAYING   unless no time is left
-    LOOKING   the LOOKS-th Look with nothing new      ENDED     end
-
-Why the looks: when nothing is owed by what was read, a request may lie in the machine's buffers or in the
-accept queue, and it was taken all the same. One turn of the loop accepts, the next reads, the next hears an
-end.
-
-Why the last moment: the platform kills a director its longest deadline (at most `MOST_DEADLINE_MS`) and
-`ARRIVE_MS` after it told it to stop; what is answered by then has its answer.
+"""Decides when a director that received a stop signal may exit. No I/O.
+
+    state     event                                   next      action
+    SERVING   begin                                   DRAINING
+    DRAINING  check, requests may still arrive        DRAINING
+    DRAINING  check, work is pending                  DRAINING
+    DRAINING  check, FINAL_ANSWERS_MS before the kill DRAINING  answer every open request
+    DRAINING  check, nothing pending or out of time   CHECKING  check the sockets again
+    CHECKING  check, new input, not out of time       CHECKING  the count of quiet checks starts again
+    CHECKING  check, work is pending, not out of time DRAINING
+    CHECKING  MIN_QUIET_CHECKS checks, nothing new    ENDED     exit
+
+Several quiet checks are needed because a request may still lie in the kernel's buffers or accept queue after
+all received requests are answered, and such a request counts as accepted. One iteration of the loop accepts a
+connection, the next reads it, the next sees its end.
+
+Open requests are answered shortly before the kill, as only answers sent before it count. The platform kills a
+director ARRIVAL_WINDOW_MS plus its longest deadline (at most `MAX_DEADLINE_MS`) after the stop signal.
 """
 
 from __future__ import annotations
@@ -23,76 +24,76 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ARRIVE_MS = 700.0  # after the word to stop: so long requests may still arrive, by the protocol page
-MOST_DEADLINE_MS = 3000.0  # the page counts no deadline as longer here
-STAY_SLACK_MS = 250.0
-LAST_ANSWERS_MS = 200.0  # before the kill: what is still open is answered then
-LAST_WRITES_MS = 100.0  # before the kill: an end with something unsent, for it cannot get any better
-LOOKS = 5  # turns of the loop without anything new
+ARRIVAL_WINDOW_MS = 700.0  # by the protocol page, requests may arrive this long after the stop signal
+MAX_DEADLINE_MS = 3000.0  # the protocol page caps deadlines at this value for the stop
+ARRIVAL_SLACK_MS = 250.0
+FINAL_ANSWERS_MS = 200.0  # before the kill: requests still open are answered
+FINAL_WRITES_MS = 100.0  # before the kill: exit even with unsent bytes
+MIN_QUIET_CHECKS = 5  # consecutive iterations of the loop without new input
 
 
 class State(Enum):
-    """Of a director as its end goes."""
+    """State of a stopping director."""
 
     SERVING = "serving"
-    STAYING = "staying"
-    LOOKING = "looking"
+    DRAINING = "staying"
+    CHECKING = "looking"
     ENDED = "ended"
 
 
 class Step(Enum):
-    """What a look leads to."""
+    """Result of a check."""
 
     WAIT = "wait for the next look in its own time"
     ANSWER = "answer what is open, then as LOOK"
-    LOOK = "look at the sockets once more, then here again"
+    CHECK = "look at the sockets once more, then here again"
     END = "end"
 
 
 @dataclass(frozen=True, slots=True)
-class Owed:
-    """What a director owes at a look, and how much it has heard so far."""
+class PendingWork:
+    """What is pending at a check, and how much input was received."""
 
-    unanswered: int  # requests taken and not answered
-    unsent: int  # bytes or messages that are written and not taken by the machine
-    heard: int  # connections and reads so far: more than at the last look means something came
+    unanswered: int  # requests accepted and not answered
+    unsent: int  # bytes or messages written and not yet accepted by the kernel
+    received: int  # number of connections and reads; more than at the last check means new input
 
 
-class Stop:
-    """Decides when the process ends. `deadlines`: of the settings' classes, ms."""
+class GracefulStop:
+    """Decides when the process exits. `deadlines`: deadlines of the session classes, ms."""
 
     def __init__(self, deadlines: Iterable[float]) -> None:
-        self.killed_after_ms = min(max(deadlines, default=0.0), MOST_DEADLINE_MS) + ARRIVE_MS
+        self.killed_after_ms = min(max(deadlines, default=0.0), MAX_DEADLINE_MS) + ARRIVAL_WINDOW_MS
         self.state = State.SERVING
-        self._since = 0.0
-        self._heard = -1
-        self._quiet = 0  # looks in a row with nothing new
+        self._stop_at = 0.0
+        self._received = -1
+        self._quiet_checks = 0  # looks in a row with nothing new
 
-    def told(self, now: float) -> bool:
-        """The word to stop came; False where it had come before. `now` in ms."""
+    def begin(self, now: float) -> bool:
+        """Handle the stop signal. Return False if it was received before. `now` in ms."""
         if self.state is not State.SERVING:
             return False
-        self.state, self._since = State.STAYING, now
+        self.state, self._stop_at = State.DRAINING, now
         return True
 
-    def look(self, now: float, owed: Owed) -> Step:
-        """The sockets were read; what to do now. `now` in ms."""
+    def check(self, now: float, pending: PendingWork) -> Step:
+        """Return the next step after the sockets have been read. `now` in ms."""
         if self.state in (State.SERVING, State.ENDED):
             return Step.WAIT
-        stayed = now - self._since
-        left = self.killed_after_ms - stayed
-        if left <= LAST_ANSWERS_MS and owed.unanswered:
+        elapsed_ms = now - self._stop_at
+        remaining_ms = self.killed_after_ms - elapsed_ms
+        if remaining_ms <= FINAL_ANSWERS_MS and pending.unanswered:
             return Step.ANSWER
-        hurried = left <= LAST_WRITES_MS
-        if stayed < min(ARRIVE_MS + STAY_SLACK_MS, self.killed_after_ms - LAST_ANSWERS_MS) or (
-            (owed.unanswered or owed.unsent) and not hurried
-        ):
-            self.state, self._quiet = State.STAYING, 0
+        out_of_time = remaining_ms <= FINAL_WRITES_MS
+        if elapsed_ms < min(
+            ARRIVAL_WINDOW_MS + ARRIVAL_SLACK_MS, self.killed_after_ms - FINAL_ANSWERS_MS
+        ) or ((pending.unanswered or pending.unsent) and not out_of_time):
+            self.state, self._quiet_checks = State.DRAINING, 0
             return Step.WAIT
-        new, self._heard = owed.heard != self._heard, owed.heard
-        self._quiet = 0 if new and not hurried else self._quiet + 1
-        if self._quiet >= LOOKS:
+        new, self._received = pending.received != self._received, pending.received
+        self._quiet_checks = 0 if new and not out_of_time else self._quiet_checks + 1
+        if self._quiet_checks >= MIN_QUIET_CHECKS:
             self.state = State.ENDED
             return Step.END
-        self.state = State.LOOKING
-        return Step.LOOK
+        self.state = State.CHECKING
+        return Step.CHECK
--- /dev/null
+++ b/foxlift/platform/viewer_releases.py
@@ -0,0 +1,125 @@
+"""Releases to viewers: the connection each is sent on, and when it is sent again. No I/O.
+
+    release     event                             next      action
+    (none)      add, its connection in use        SENT      written there
+    (none)      add, another connection in use    SENT      written there: a session may use any connection
+    (none)      add, no connection in use         UNSENT    kept
+    SENT        confirmed                         (none)
+    SENT        its connection closes             as add    sent again elsewhere, as it may be lost
+    SENT        MAX_UNCONFIRMED on a connection   (none)    the oldest is dropped
+    UNSENT      a connection comes into use       SENT      written there
+    UNSENT      MAX_UNSENT exceeded               (none)    the oldest is dropped
+    both        RETENTION_MS since the end        (none)    the viewer has counted the session as lost
+
+The other connection is the one on which a session started last, else the one on which a session was requested
+last. A connection without either may not belong to a viewer.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+RETENTION_MS = 8000.0  # viewers must be notified within 8 s of an end
+MAX_UNSENT = 4096  # releases kept while no connection is in use
+MAX_UNCONFIRMED = 256  # per connection; where a viewer confirms nothing, the oldest arrived long ago
+
+
+@dataclass(frozen=True, slots=True)
+class Write:
+    """Action: write the release on the connection."""
+
+    conn: int
+    data: bytes
+
+
+@dataclass(slots=True)
+class ViewerReleases:
+    """Unconfirmed releases and the connections that may carry them."""
+
+    resent: int = 0  # number of releases written again because a connection closed
+    expired: int = 0  # number of releases dropped after RETENTION_MS or beyond MAX_UNSENT
+    _serving: dict[int, None] = field(
+        default_factory=dict
+    )  # connections on which a session started, least recent first
+    _requesting: dict[int, None] = field(default_factory=dict)  # connections on which one was requested
+    # by connection and tag, in order of writing: time of the end, the release
+    _sent: dict[tuple[int, str], tuple[float, bytes]] = field(default_factory=dict)
+    _sent_on: dict[int, dict[str, None]] = field(default_factory=dict)  # the same tags by connection
+    _unsent: deque[tuple[float, str, bytes]] = field(default_factory=deque)
+
+    def __len__(self) -> int:
+        return len(self._unsent) + len(self._sent)
+
+    def session_requested(self, now: float, conn: int) -> list[Write]:
+        """A session was requested on the connection: return the releases to write now."""
+        self._requesting.pop(conn, None)
+        self._requesting[conn] = None
+        self._expire(now)
+        return self._send_unsent(now)
+
+    def session_started(self, now: float, conn: int) -> list[Write]:
+        """A session of the connection started: return the releases to write now."""
+        self._serving.pop(conn, None)
+        self._serving[conn] = None
+        self._expire(now)
+        return self._send_unsent(now)
+
+    def add(self, since: float, conn: int, tag: str, data: bytes) -> list[Write]:
+        """Add the release of a session that ended at `since`; `conn`: the connection it was requested on."""
+        if conn not in self._serving and conn not in self._requesting:
+            other = next(reversed(self._serving), None) or next(reversed(self._requesting), None)
+            if other is None:
+                self._unsent.append((since, tag, data))
+                if len(self._unsent) > MAX_UNSENT:
+                    self._unsent.popleft()
+                    self.expired += 1
+                return []
+            conn = other
+        self._expire(since)
+        self._sent[conn, tag] = since, data
+        tags = self._sent_on.setdefault(conn, {})
+        tags[tag] = None
+        if len(tags) > MAX_UNCONFIRMED:
+            self.confirmed(conn, next(iter(tags)))
+        return [Write(conn, data)]
+
+    def _expire(self, now: float) -> None:
+        """Drop releases past RETENTION_MS: not every viewer confirms."""
+        while self._sent:
+            conn, tag = next(iter(self._sent))
+            if now - self._sent[conn, tag][0] <= RETENTION_MS:
+                return
+            self.confirmed(conn, tag)
+            self.expired += 1
+
+    def confirmed(self, conn: int, tag: str) -> None:
+        """The viewer confirmed the release."""
+        if self._sent.pop((conn, tag), None) is not None:
+            tags = self._sent_on[conn]
+            del tags[tag]
+            if not tags:
+                del self._sent_on[conn]
+
+    def connection_closed(self, now: float, conn: int) -> list[Write]:
+        """The connection closed: return its unconfirmed releases to write on another connection."""
+        self._serving.pop(conn, None)
+        self._requesting.pop(conn, None)
+        self._expire(now)
+        sent = [(tag, *self._sent.pop((conn, tag))) for tag in self._sent_on.pop(conn, ())]
+        self.resent += len(sent)
+        return self._resend(now, [(since, tag, data) for tag, since, data in sent])
+
+    def _send_unsent(self, now: float) -> list[Write]:
+        unsent, self._unsent = self._unsent, deque()
+        return self._resend(now, unsent) if unsent else []
+
+    def _resend(self, now: float, unsent: Iterable[tuple[float, str, bytes]]) -> list[Write]:
+        writes: list[Write] = []
+        for since, tag, data in unsent:
+            if now - since > RETENTION_MS:
+                self.expired += 1
+            else:
+                writes += self.add(since, 0, tag, data)
+        return writes
--- a/foxlift/rollout/server.py
+++ b/foxlift/rollout/server.py
@@ -1,8 +1,8 @@
-"""A control server without its sockets: the log, the watches of its followers, and its part in the group.
+"""A control server's core: the log, its followers' watches, and its role in the group. No I/O.
 
-A member of the group takes orders and agrees with the others on each entry; a relay follows one member and
-reports to all of them what its directors have in force. Directors may watch either. What a server knows it
-keeps on its disk, and goes on telling while the group is away.
+A group member receives change requests and agrees with the other members on each entry. A relay follows one
+member and reports its directors' versions to all of them. Directors may poll either. A server stores its log
+on disk and keeps serving it while the group is unreachable.
 """
 
 from __future__ import annotations
@@ -11,132 +11,132 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxlift.accord import Answer as RegisterAnswer
-from foxlift.accord import Ask as RegisterAsk
-from foxlift.accord import register as registers
+from foxlift.consensus import Request as RegisterAsk
+from foxlift.consensus import Response as RegisterAnswer
+from foxlift.consensus import register as registers
 from foxlift.rollout import acceptor, follower, group, hub, watcher
 from foxlift.rollout.acceptor import OpenVersion
 from foxlift.rollout.entry import Entry, EntryError
 from foxlift.rollout.group import GroupMember
 from foxlift.rollout.log import ConfigLog
 from foxlift.rollout.messages import (
+    ChangeRequest,
+    ChangeResponse,
     Heartbeat,
-    Order,
-    OrderAnswer,
     Outcome,
     RelayWatch,
     Report,
     Watch,
-    WatchAnswer,
+    WatchResponse,
 )
-from foxlift.rollout.proposer import Done, Learned
+from foxlift.rollout.proposer import EntryDecided, ProposalFinished
 
-TICK_MS = 100.0
-HEARTBEAT_MS = 500.0
-REPORT_MS = 500.0
+TICK_INTERVAL_MS = 100.0
+HEARTBEAT_INTERVAL_MS = 500.0
+REPORT_INTERVAL_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """Who a control server is. `members`: of the group, in the order in which they lead."""
+class ServerIdentity:
+    """The identity of a control server. `members`: of the group, in order of leadership."""
 
     name: str
-    run: int
+    boot_epoch: int
     zone: str
     members: tuple[str, ...]
     seed: int
 
     @property
     def is_member(self) -> bool:
-        """Whether it belongs to the group; else it is a relay."""
+        """Whether the server belongs to the group; otherwise it is a relay."""
         return self.name in self.members
 
 
 # ---- Events -----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """A follower's watch; `number` is the caller's, for the answer."""
+class WatchReceived:
+    """A follower's watch; `correlation_id` is the caller's, for the reply."""
 
-    number: int
+    correlation_id: int
     watch: Watch
 
 
 @dataclass(frozen=True, slots=True)
-class FollowerGone:
-    """The follower has left before its answer."""
+class FollowerDisconnected:
+    """The follower disconnected before the reply."""
 
-    number: int
+    correlation_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
-    """An operator's order; `number` is the caller's, for the answer."""
+class ChangeRequested:
+    """An operator's request; `correlation_id` is the caller's, for the reply."""
 
-    number: int
-    order: Order
+    correlation_id: int
+    request: ChangeRequest
 
 
 @dataclass(frozen=True, slots=True)
-class RegisterAsked:
-    """Another member's message to this one's acceptor."""
+class RegisterRequested:
+    """Another member's message to this member's acceptor."""
 
-    number: int
-    ask: RegisterAsk
+    correlation_id: int
+    message: RegisterAsk
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The disk has what KeepOpen asked for; `ok`: False where it failed."""
+    """The disk write of StoreOpenVersion has ended; `ok`: False if it failed."""
 
-    number: int
+    correlation_id: int
     ok: bool
 
 
 @dataclass(frozen=True, slots=True)
-class OfRegister:
-    """Something came of a register that this member changes."""
+class RegisterEvent:
+    """Progress of a register that this member is changing."""
 
     event: registers.ChangeProgress
 
 
 @dataclass(frozen=True, slots=True)
-class OfFollower:
-    """Something came of this server's own watch of another; `source`: a member, "" for a relay's one."""
+class FollowerEvent:
+    """An event for one of this server's followers; `source`: the followed member, "" at a relay."""
 
     source: str
     event: follower.Event
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A message that needs no answer."""
+class MessageReceived:
+    """A message that needs no reply."""
 
     message: Heartbeat | Report
 
 
 @dataclass(frozen=True, slots=True)
-class Trusted:
-    """Whether the disk is known to be the last run's; `highest`: of the others, where it is not."""
+class DiskTrusted:
+    """The disk check has ended; `highest_version`: reported by other members, used if the disk was lost."""
 
-    lost: bool
-    highest: int = 0
+    was_lost: bool
+    highest_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """TICK_MS have passed."""
+    """TICK_INTERVAL_MS has passed."""
 
 
 Event = (
-    Watched
-    | FollowerGone
-    | Ordered
-    | RegisterAsked
+    WatchReceived
+    | FollowerDisconnected
+    | ChangeRequested
+    | RegisterRequested
     | Stored
-    | OfRegister
-    | OfFollower
-    | Heard
-    | Trusted
+    | RegisterEvent
+    | FollowerEvent
+    | MessageReceived
+    | DiskTrusted
     | Tick
 )
 
@@ -144,259 +144,273 @@
 # ---- Actions ----------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class ReplyWatch:
-    """Answer a watch; None: it cannot be held."""
+    """Reply to a watch; None: refused, there are too many."""
 
-    number: int
-    answer: WatchAnswer | None
+    correlation_id: int
+    response: WatchResponse | None
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyOrder:
-    """Answer an order."""
+class ReplyChange:
+    """Reply to a change request."""
 
-    number: int
-    answer: OrderAnswer
+    correlation_id: int
+    response: ChangeResponse
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyAsk:
-    """Answer a proposer; None: the disk has failed."""
+class ReplyRegister:
+    """Reply to a proposer; None: no vote, the disk failed or is not trusted."""
 
-    number: int
-    answer: RegisterAnswer | None
+    correlation_id: int
+    response: RegisterAnswer | None
 
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Watch another server; its answer comes back as OfFollower."""
+    """Poll another server; its response comes back as FollowerEvent."""
 
     source: str
-    ask: int
+    watch_id: int
     to: str
     watch: RelayWatch
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Send a message that a later one repeats."""
+class SendMessage:
+    """Send a message whose loss does not matter, because a later one replaces it."""
 
     to: str
     message: Heartbeat | Report
 
 
 @dataclass(frozen=True, slots=True)
-class KeepOpen:
-    """Write an open version to the disk, then report Stored."""
+class StoreOpenVersion:
+    """Write an open version to disk, then report Stored."""
 
-    number: int
+    correlation_id: int
     record: OpenVersion
 
 
 @dataclass(frozen=True, slots=True)
-class KeepEntry:
-    """Write a decided entry to the disk."""
+class StoreEntry:
+    """Write a decided entry to disk."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class KeepSnapshot:
-    """The log begins at another snapshot: write all of it to the disk."""
+class StoreSnapshot:
+    """The log starts at another snapshot: write all of it to disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Handle this event after so long."""
+    """Handle the event after the delay."""
 
     delay_ms: float
     event: Event
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """A line for the log."""
+class WriteLog:
+    """Write a log line."""
 
-    what: str
+    message: str
     detail: str = ""
     version: int = 0
 
 
 Action = (
     ReplyWatch
-    | ReplyOrder
-    | ReplyAsk
+    | ReplyChange
+    | ReplyRegister
     | SendWatch
-    | Tell
-    | KeepOpen
-    | KeepEntry
-    | KeepSnapshot
+    | SendMessage
+    | StoreOpenVersion
+    | StoreEntry
+    | StoreSnapshot
     | StartTimer
-    | Say
+    | WriteLog
     | registers.Send
 )
 
 
 class ControlServer:
-    """One server. `log`: as its disk has it."""
+    """The core of one server. `log`: read from disk."""
 
-    def __init__(self, plan: Plan, log: ConfigLog, open_versions: tuple[OpenVersion, ...] = ()) -> None:
-        self.plan, self.log = plan, log
+    def __init__(
+        self, identity: ServerIdentity, log: ConfigLog, open_versions: tuple[OpenVersion, ...] = ()
+    ) -> None:
+        self.identity, self.log = identity, log
         self.hub = hub.WatchHub(log)
         self.member: GroupMember | None = None
-        self._trusted = not plan.is_member
+        self._is_disk_trusted = not identity.is_member
         sources = (
-            [(name,) for name in plan.members if name != plan.name] if plan.is_member else [plan.members]
+            [(name,) for name in identity.members if name != identity.name]
+            if identity.is_member
+            else [identity.members]
         )
         self._followers = {
-            of[0] if plan.is_member else "": follower.Follower(plan.name, plan.run, of, plan.seed, log)
-            for of in sources
+            names[0] if identity.is_member else "": follower.Follower(
+                identity.name, identity.boot_epoch, names, identity.seed, log
+            )
+            for names in sources
         }
-        if plan.is_member:
-            self.member = GroupMember(plan.name, plan.run, plan.members, log, plan.seed)
+        if identity.is_member:
+            self.member = GroupMember(
+                identity.name, identity.boot_epoch, identity.members, log, identity.seed
+            )
             for record in open_versions:
                 self.member.acceptor.open[record.version] = record
-            self.member.acceptor.decided(log.head)
-        self._beat_at = self._report_at = -math.inf
+            self.member.acceptor.advance_head(log.head)
+        self._heartbeat_due_at = self._report_due_at = -math.inf
 
     def _make_follower(self, sources: tuple[str, ...]) -> follower.Follower:
-        plan = self.plan
-        return follower.Follower(plan.name, plan.run, sources, plan.seed, self.log)
+        identity = self.identity
+        return follower.Follower(identity.name, identity.boot_epoch, sources, identity.seed, self.log)
 
     def start(self, now: float) -> list[Action]:
-        """Follow others, and keep time."""
-        actions: list[Action] = [StartTimer(TICK_MS, Tick())]
-        for source, each in self._followers.items():
-            actions += self._follow(now, source, each.start())
+        """Start the followers and the timer."""
+        actions: list[Action] = [StartTimer(TICK_INTERVAL_MS, Tick())]
+        for source, one in self._followers.items():
+            actions += self._handle_follower_actions(now, source, one.start())
         return actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event in; `now` in ms on a clock that never steps back."""
+        """Process one event; `now` in ms of a monotonic clock."""
         match event:
             case Tick():
                 return self._tick(now)
-            case Watched(number, watch):
-                return self._replies(self.hub.handle(now, hub.Watched(number, watch)))
-            case FollowerGone(number):
-                return self._replies(self.hub.handle(now, hub.Gone(number)))
-            case OfFollower(source, inner):
-                return self._follow(now, source, self._followers[source].handle(inner))
+            case WatchReceived(correlation_id, watch):
+                return self._replies(self.hub.handle(now, hub.WatchReceived(correlation_id, watch)))
+            case FollowerDisconnected(correlation_id):
+                return self._replies(self.hub.handle(now, hub.Disconnected(correlation_id)))
+            case FollowerEvent(source, inner):
+                return self._handle_follower_actions(now, source, self._followers[source].handle(inner))
             case _:
-                return self._of_member(now, event)
+                return self._handle_member_event(now, event)
 
-    def _of_member(self, now: float, event: Event) -> list[Action]:
+    def _handle_member_event(self, now: float, event: Event) -> list[Action]:
         member = self.member
-        if isinstance(event, RegisterAsked) and (member is None or not self._trusted):
-            return [ReplyAsk(event.number, None)]
+        if isinstance(event, RegisterRequested) and (member is None or not self._is_disk_trusted):
+            return [ReplyRegister(event.correlation_id, None)]
         if member is None:
-            return self._not_a_member(event)
+            return self._refuse_non_member(event)
         match event:
-            case Ordered(number, order):
-                return self._carry_out(now, member.order(now, number, order))
-            case RegisterAsked(number, ask):
-                return self._carry_out(now, member.accept(acceptor.Asked(number, ask)))
-            case Stored(number, ok):
-                stored = acceptor.Stored(number) if ok else acceptor.StoreFailed(number)
-                return self._carry_out(now, member.accept(stored))
-            case OfRegister(inner):
-                return self._carry_out(now, member.register_event(now, inner))
-            case Heard(Heartbeat() as beat):
-                member.heartbeat(now, beat)
-            case Heard(Report() as report):
-                member.reported(now, report)
-            case Trusted(lost, highest):
-                return self._trust(member, lost, highest)
+            case ChangeRequested(correlation_id, request):
+                return self._handle_member_actions(now, member.request_change(now, correlation_id, request))
+            case RegisterRequested(correlation_id, message):
+                return self._handle_member_actions(
+                    now, member.handle_acceptor_event(acceptor.RequestReceived(correlation_id, message))
+                )
+            case Stored(correlation_id, ok):
+                stored = acceptor.Stored(correlation_id) if ok else acceptor.StoreFailed(correlation_id)
+                return self._handle_member_actions(now, member.handle_acceptor_event(stored))
+            case RegisterEvent(inner):
+                return self._handle_member_actions(now, member.handle_register_event(now, inner))
+            case MessageReceived(Heartbeat() as beat):
+                member.handle_heartbeat(now, beat)
+            case MessageReceived(Report() as report):
+                member.handle_report(now, report)
+            case DiskTrusted(was_lost, highest_version):
+                return self._handle_disk_trusted(member, was_lost, highest_version)
         return []
 
-    def _not_a_member(self, event: Event) -> list[Action]:
-        if not isinstance(event, Ordered):
+    def _refuse_non_member(self, event: Event) -> list[Action]:
+        if not isinstance(event, ChangeRequested):
             return []
-        reason = "not a member of the group: " + ", ".join(self.plan.members)
-        return [ReplyOrder(event.number, OrderAnswer(Outcome.REFUSED, reason=reason))]
+        reason = "not a member of the group: " + ", ".join(self.identity.members)
+        return [ReplyChange(event.correlation_id, ChangeResponse(Outcome.REFUSED, reason=reason))]
 
-    def _trust(self, member: GroupMember, lost: bool, highest: int) -> list[Action]:
-        self._trusted = True
-        if not lost:
+    def _handle_disk_trusted(self, member: GroupMember, was_lost: bool, highest_version: int) -> list[Action]:
+        self._is_disk_trusted = True
+        if not was_lost:
             return []
-        member.acceptor.silent_up_to = highest + 1
-        return [Say("the disk was lost", f"silent up to version {highest + 1}")]
+        member.acceptor.abstain_up_to = highest_version + 1
+        return [WriteLog("disk was lost", f"no votes up to version {highest_version + 1}")]
 
     # ---- Time ---------------------------------------------------------------------------------------------
     def _tick(self, now: float) -> list[Action]:
-        actions: list[Action] = [StartTimer(TICK_MS, Tick())]
+        actions: list[Action] = [StartTimer(TICK_INTERVAL_MS, Tick())]
         actions += self._replies(self.hub.handle(now, hub.Tick()))
-        if now >= self._report_at:
-            self._report_at = now + REPORT_MS
+        if now >= self._report_due_at:
+            self._report_due_at = now + REPORT_INTERVAL_MS
             actions += self._report(now)
         if self.member is None:
             return actions
-        if now >= self._beat_at:
-            self._beat_at = now + HEARTBEAT_MS
-            beat = Heartbeat(self.plan.name, self.plan.run, self.log.head)
-            actions += [Tell(name, beat) for name in self.plan.members if name != self.plan.name]
-        if self._trusted:
-            actions += self._carry_out(now, self.member.tick(now))
+        if now >= self._heartbeat_due_at:
+            self._heartbeat_due_at = now + HEARTBEAT_INTERVAL_MS
+            beat = Heartbeat(self.identity.name, self.identity.boot_epoch, self.log.head)
+            actions += [
+                SendMessage(name, beat) for name in self.identity.members if name != self.identity.name
+            ]
+        if self._is_disk_trusted:
+            actions += self._handle_member_actions(now, self.member.tick(now))
         return actions
 
     def _report(self, now: float) -> list[Action]:
-        """What this server's own directors have in force, to every member of the group."""
-        plan = self.plan
-        report = self.hub.roster.report(now, plan.name, plan.run, plan.zone, self.log.head)
+        """Send a report on this server's directors to every group member."""
+        identity = self.identity
+        report = self.hub.roster.report(now, identity.name, identity.boot_epoch, identity.zone, self.log.head)
         if self.member is not None:
-            self.member.reported(now, report)
-        return [Tell(name, report) for name in plan.members if name != plan.name]
-
-    # ---- What the parts want ------------------------------------------------------------------------------
-    def _follow(self, now: float, source: str, actions: list[follower.Action]) -> list[Action]:
-        out: list[Action] = []
+            self.member.handle_report(now, report)
+        return [SendMessage(name, report) for name in identity.members if name != identity.name]
+
+    # ---- Actions of the components ------------------------------------------------------------------------
+    def _handle_follower_actions(
+        self, now: float, source: str, actions: list[follower.Action]
+    ) -> list[Action]:
+        result: list[Action] = []
         for action in actions:
             match action:
-                case follower.SendWatch(ask, to, watch):
-                    out.append(SendWatch(source, ask, to, watch))
+                case follower.SendWatch(watch_id, to, watch):
+                    result.append(SendWatch(source, watch_id, to, watch))
                 case watcher.StartTimer(delay_ms, event):
-                    out.append(StartTimer(delay_ms, OfFollower(source, event)))
-                case follower.Grown(after, restored):
-                    out += self._grown(now, after, restored)
-                case follower.Misfit(of, detail):
-                    out.append(Say("what a source told does not fit the log", f"{of}: {detail}"))
-        return out
-
-    def _grown(self, now: float, after: int, restored: bool = False) -> list[Action]:
-        kept: list[Action] = [KeepEntry(entry) for entry in self.log.between(after, self.log.head)]
-        out: list[Action] = [KeepSnapshot()] if restored else kept
-        out += self._replies(self.hub.handle(now, hub.LogChanged()))
+                    result.append(StartTimer(delay_ms, FollowerEvent(source, event)))
+                case follower.LogAdvanced(after, restored):
+                    result += self._handle_log_advanced(now, after, restored)
+                case follower.SourceMismatch(name, detail):
+                    result.append(WriteLog("source inconsistent with the log", f"{name}: {detail}"))
+        return result
+
+    def _handle_log_advanced(self, now: float, after: int, restored: bool = False) -> list[Action]:
+        entries: list[Action] = [StoreEntry(entry) for entry in self.log.between(after, self.log.head)]
+        result: list[Action] = [StoreSnapshot()] if restored else entries
+        result += self._replies(self.hub.handle(now, hub.LogChanged()))
         if self.member is not None:
-            out += self._carry_out(now, self.member.log_grown(now))
-        return out
+            result += self._handle_member_actions(now, self.member.handle_log_advanced(now))
+        return result
 
-    def _learn(self, now: float, entry: Entry) -> list[Action]:
-        """An entry that this member's own proposer found to be decided."""
+    def _append_decided(self, now: float, entry: Entry) -> list[Action]:
+        """Append an entry that this member's own proposer found to be decided."""
         if entry.version != self.log.head + 1:
-            return []  # learned from another by now
+            return []  # already received from another member
         try:
             self.log.append(entry)
         except EntryError as error:
-            return [Say("a decided entry does not fit the log", str(error), entry.version)]
-        return self._grown(now, entry.version - 1)
+            return [WriteLog("decided entry inconsistent with the log", str(error), entry.version)]
+        return self._handle_log_advanced(now, entry.version - 1)
 
-    def _carry_out(self, now: float, actions: Sequence[group.Action]) -> list[Action]:
-        out: list[Action] = []
+    def _handle_member_actions(self, now: float, actions: Sequence[group.Action]) -> list[Action]:
+        result: list[Action] = []
         for action in actions:
             match action:
-                case Learned(entry):
-                    out += self._learn(now, entry)
-                case Done(number, answer):
-                    if number:
-                        out.append(ReplyOrder(number, answer))
-                case acceptor.Store(number, record):
-                    out.append(KeepOpen(number, record))
-                case acceptor.Reply(number, message):
-                    out.append(ReplyAsk(number, message))
+                case EntryDecided(entry):
+                    result += self._append_decided(now, entry)
+                case ProposalFinished(correlation_id, answer):
+                    if correlation_id:
+                        result.append(ReplyChange(correlation_id, answer))
+                case acceptor.Store(correlation_id, record):
+                    result.append(StoreOpenVersion(correlation_id, record))
+                case acceptor.Reply(correlation_id, message):
+                    result.append(ReplyRegister(correlation_id, message))
                 case registers.StartTimer(delay_ms, due):
-                    out.append(StartTimer(delay_ms, OfRegister(due)))
+                    result.append(StartTimer(delay_ms, RegisterEvent(due)))
                 case registers.Send():
-                    out.append(action)
-        return out
+                    result.append(action)
+        return result
 
     @staticmethod
     def _replies(replies: list[hub.Reply]) -> list[Action]:
-        return [ReplyWatch(reply.number, reply.answer) for reply in replies]
+        return [ReplyWatch(reply.correlation_id, reply.response) for reply in replies]
--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxlift.accord import Holder, Registers, holders_of
-from foxlift.accord import holder as hd
-from foxlift.accord import register as rg
+from foxlift.consensus import Proposer, Replica, replicas_of
+from foxlift.consensus import register as rg
+from foxlift.consensus import replica as rp
 from foxlift.recovery import claims as rc
 from foxlift.recovery import route as rt
 from foxlift.standins.owners import Owners
@@ -20,7 +20,7 @@
 TOKEN, BOX, EXPIRES, APART = "token", "b0", 10_000_000, 50
 
 
-class AtomicRegisters(Registers):
+class AtomicRegisters(Proposer):
     """One register that answers at once, for worlds small enough to be explored whole."""
 
     value: str | None = None
@@ -45,7 +45,7 @@
     routes: rt.Routes
     up: bool = True
     playing: set[str] = field(default_factory=set)
-    spent: bool = False  # its set-up has left: `foxlift.decide.claims` lets no other leave in this run
+    spent: bool = False  # its set-up has left: `decide.token_sessions` lets no other leave in this run
     asked: int = 0
     set_ups: int = 0
     pending: dict[int, rc.Claim] = field(default_factory=dict)  # claims that are being made
@@ -75,8 +75,8 @@
         self.owners = self.make_owners()
         self.boots = 0
         self.store: dict[str, str | None] = {"value": None}
-        self.disks: dict[str, dict[str, hd.Record]] = {name: {} for name in self.names}
-        self.holders = {name: Holder(EXPIRES, 0, 0, self.disks[name]) for name in self.names}
+        self.disks: dict[str, dict[str, rp.Record]] = {name: {} for name in self.names}
+        self.replicas = {name: Replica(EXPIRES, 0, 0, self.disks[name]) for name in self.names}
         self.processes: dict[str, Process] = {}
         self.runs = dict.fromkeys(self.names, 0)
         self.numbers = 0
@@ -87,12 +87,12 @@
     def start(self, name: str) -> None:
         self.runs[name] += 1
         run = self.runs[name]
-        registers: Registers
+        registers: Proposer
         if self.atomic:
             registers = AtomicRegisters(f"{name}.{run}", self.seed)
             registers.store = self.store
         else:
-            registers = Registers(f"{name}.{run}", self.seed)
+            registers = Proposer(f"{name}.{run}", self.seed)
         claims = self.make_claims(name, run, registers)
         routes = self.make_routes(
             name, self.seed, lambda other: self.any(), lambda other: True, lambda of, box: name, APART
@@ -108,7 +108,7 @@
         self.owners.streams.pop(name, None)
         if not self.atomic:
             # what its disk had not finished may or may not be there; nothing was said of it
-            self.holders[name] = Holder(EXPIRES, 0, 0, self.disks[name])
+            self.replicas[name] = Replica(EXPIRES, 0, 0, self.disks[name])
 
     def box_dies(self) -> None:
         """And is back: it has forgotten all, and says since when it remembers."""
@@ -137,8 +137,8 @@
         boot = str(max(self.boots - self.random.choice((0, 0, 0, 1)), 0))  # perhaps not the latest
         claim = rc.Claim(process.name, process.run, BOX, set_up, self.now, boot)
         process.pending[self.numbers] = claim
-        holders = holders_of(TOKEN, self.names)
-        want = rc.Want(self.numbers, TOKEN, claim, EXPIRES, 1000.0, holders, instead_of)
+        replicas = replicas_of(TOKEN, self.names)
+        want = rc.ClaimRequested(self.numbers, TOKEN, claim, EXPIRES, 1000.0, replicas, instead_of)
         self.do_claims(process, process.claims.handle(self.now, want))
 
     def of(self, process: Process, then: Callable[[], None]) -> Callable[[], None]:
@@ -153,17 +153,17 @@
     def do_claims(self, process: Process, actions: list[rc.Action]) -> None:
         for action in actions:
             match action:
-                case rc.Held(number):
+                case rc.Granted(number):
                     claim = process.pending.pop(number)
                     process.spent = True
                     self.send(f"set-up {claim.set_up}", lambda c=claim: self.set_up_comes(process, c))  # type: ignore[misc]
-                case rc.Elsewhere(number, found):
+                case rc.OwnedElsewhere(number, found):
                     process.pending.pop(number, None)
-                    self.route(process, rt.Wish(number, found))
-                case rc.Unclaimed(number):
+                    self.route(process, rt.RouteRequested(number, found))
+                case rc.ClaimUndecided(number):
                     process.pending.pop(number, None)
                 case rg.Send():
-                    self.send("ask", lambda s=action: self.holder_asked(process, s))  # type: ignore[misc]
+                    self.send("ask", lambda s=action: self.replica_asked(process, s))  # type: ignore[misc]
                 case rg.StartTimer(_, rg.DeadlineDue() as event):
                     self.late.append(self.of(process, lambda e=event: self.register(process, e)))  # type: ignore[misc]
                 case rg.StartTimer(_, event):
@@ -171,38 +171,38 @@
 
     def register(self, process: Process, event: rg.Event) -> None:
         assert not isinstance(event, rg.Change)
-        self.do_claims(process, process.claims.handle(self.now, rc.OfRegister(event)))
+        self.do_claims(process, process.claims.handle(self.now, rc.RegisterProgress(event)))
 
-    def holder_asked(self, process: Process, send: rg.Send) -> None:
+    def replica_asked(self, process: Process, send: rg.Send) -> None:
         if not self.processes[send.to].up:
             return
         self.numbers += 1
-        holder = self.holders[send.to]
-        for action in holder.handle(self.now, hd.Asked(self.numbers, send.message)):
-            self.holder_does(process, send, holder, action)
+        replica = self.replicas[send.to]
+        for action in replica.handle(self.now, rp.RequestReceived(self.numbers, send.message)):
+            self.replica_does(process, send, replica, action)
 
-    def holder_does(self, process: Process, send: rg.Send, holder: Holder, action: hd.Action) -> None:
+    def replica_does(self, process: Process, send: rg.Send, replica: Replica, action: rp.Action) -> None:
         match action:
-            case hd.Store(request, _):
-                for more in holder.handle(self.now, hd.Stored(request)):
-                    self.holder_does(process, send, holder, more)
-            case hd.Reply(_, message):
-                event = rg.Answered(send.ask, message)
+            case rp.Store(request, _):
+                for more in replica.handle(self.now, rp.Stored(request)):
+                    self.replica_does(process, send, replica, more)
+            case rp.Reply(_, message):
+                event = rg.ResponseReceived(send.request_id, message)
                 self.send("answer", self.of(process, lambda: self.register(process, event)))
 
     def route(self, process: Process, event: rt.Event) -> None:
         for action in process.routes.handle(event):
             match action:
-                case rt.AskBox(request, claim):
+                case rt.QueryBox(request, claim):
                     self.send(f"take {claim.set_up}", lambda r=request, c=claim: self.take(process, r, c))  # type: ignore[misc]
-                case rt.Tell(_, verdict, _, instead_of):
+                case rt.Resolved(_, verdict, _, instead_of):
                     single = not process.spent and not process.pending  # the rest would join
-                    if verdict is rt.Verdict.OPEN and process.asked < 5 and single:
+                    if verdict is rt.RouteOutcome.OPEN and process.asked < 5 and single:
                         self.want(process, instead_of)
 
     # ---- The box ------------------------------------------------------------------------------------------
     def set_up_comes(self, process: Process, claim: rc.Claim) -> None:
-        if self.owners.fenced(claim.owner, claim.run):
+        if self.owners.fenced(claim.owner, claim.boot_epoch):
             return
         if self.asks_boot and claim.boot != str(self.boots):
             return
@@ -211,10 +211,10 @@
         def done() -> None:
             if boots != self.boots or claim.set_up in self.ran:
                 return
-            if self.done_looks_again and self.owners.fenced(claim.owner, claim.run):
+            if self.done_looks_again and self.owners.fenced(claim.owner, claim.boot_epoch):
                 return
             self.ran.append(claim.set_up)
-            self.owners.begin(claim.set_up, claim.owner, claim.run, self.now)
+            self.owners.begin(claim.set_up, claim.owner, claim.boot_epoch, self.now)
             self.send("started", self.of(process, lambda: process.playing.add(claim.set_up)))
 
         self.send(f"done {claim.set_up}", done)
@@ -223,13 +223,13 @@
         """A take may come from a process that is dead by now; `certain` as it pleases."""
         owners = self.owners
         own = claim.owner == process.name
-        if owners.fenced(process.name, process.run) or (own and claim.run >= process.run):
+        if owners.fenced(process.name, process.run) or (own and claim.boot_epoch >= process.run):
             return
         if not own and claim.owner in owners.streams and not self.any():
             return
-        taken = owners.take(claim.owner, claim.run, process.name, process.run, self.now, claim.set_up)
+        taken = owners.take(claim.owner, claim.boot_epoch, process.name, process.run, self.now, claim.set_up)
         became, owner = owners.became(claim.set_up, process.name)
-        told = rt.BoxTold(request, became, owner, owners.forgot_ms, str(self.boots))
+        told = rt.BoxResponded(request, became, owner, owners.forgot_ms, str(self.boots))
 
         def heard() -> None:
             process.playing |= set(taken.set_ups)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -56,7 +56,7 @@
     assert old in GOOD
     with pytest.raises(ConfigError) as caught:
         bind(read_forms(GOOD.replace(old, new, 1), "d.sexp"), DirectorConfig, "director")
-    assert caught.value.place.line == line
+    assert caught.value.position.line == line
     assert words in str(caught.value)
 
 
@@ -64,12 +64,12 @@
     ("text", "words"),
     [
         ("(director", "1:1: this list is not closed"),
-        ("(director))", "1:11: ')' closes nothing"),
-        ('(director "x', "1:11: this text in quotes is not closed"),
+        ("(director))", "1:11: ')' closes no list"),
+        ('(director "x', "1:11: this quoted text is not closed"),
         ("[director]", "'['"),
         ("(" * 50, "nested deeper"),
         ("", "expected one form"),
-        ("a" * (1 << 21), "more than"),
+        ("a" * (1 << 21), "2097152 characters; 1048576 are allowed"),
         ("(a \0)", "zero byte"),
         ("(director 'x)", "quoting"),
     ],
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""Claims, attempts and links: every row of their tables, and their promises under any order of events."""
+"""Token sessions, attempts and links: rows of their state tables; invariants under any order of events."""
 
 from __future__ import annotations
 
@@ -11,96 +11,106 @@
 
 from foxlift import interface as fl
 from foxlift.decide import attempts as at
-from foxlift.decide import claims as cl
 from foxlift.decide import links as ln
+from foxlift.decide import token_sessions as ts
 
 
-# ---- Claims -----------------------------------------------------------------------------------------------
-def ask(claims: cl.Claims, request: int, paid: bool = True, expired: bool = False) -> list[cl.Action]:
-    return claims.handle(0.0, cl.Requested(request, "t", paid, 100.0, expired))
+# ---- Token sessions ---------------------------------------------------------------------------------------
+def ask(
+    sessions: ts.TokenSessions, request: int, paid: bool = True, expired: bool = False
+) -> list[ts.Action]:
+    return sessions.handle(0.0, ts.Requested(request, "t", paid, 100.0, expired))
 
 
-def test_requests_with_one_token_join_and_all_are_answered() -> None:
-    claims = cl.Claims()
-    assert ask(claims, 1) == [cl.Open(1, 1)]
-    assert ask(claims, 2) == []
-    assert claims.handle(0.0, cl.Plays(1)) == [cl.Show(1, 1), cl.Show(2, 1)]
-    assert ask(claims, 3, expired=True) == [cl.Show(3, 1)]
-    assert ask(cl.Claims(), 1, expired=True) == [cl.TurnDown(1, cl.Why.EXPIRED)]
+def test_requests_with_one_token_share_a_session_and_are_all_answered() -> None:
+    sessions = ts.TokenSessions()
+    assert ask(sessions, 1) == [ts.OpenSession(1, 1)]
+    assert ask(sessions, 2) == []
+    assert sessions.handle(0.0, ts.SessionStarted(1)) == [ts.SendManifest(1, 1), ts.SendManifest(2, 1)]
+    assert ask(sessions, 3, expired=True) == [ts.SendManifest(3, 1)]
+    assert ask(ts.TokenSessions(), 1, expired=True) == [ts.Reject(1, ts.RejectionReason.EXPIRED)]
 
 
 @pytest.mark.parametrize("paid", [True, False])
-def test_what_ended_opens_again_only_if_it_is_free(paid: bool) -> None:
-    claims = cl.Claims()
-    ask(claims, 1, paid)
-    claims.handle(0.0, cl.Plays(1))
-    claims.handle(0.0, cl.Over(1))
-    assert ask(claims, 2, paid) == ([cl.TurnDown(2, cl.Why.PLAYED)] if paid else [cl.Open(2, 2)])
-    failed = cl.Claims()
+def test_a_token_opens_another_session_after_the_end_only_if_it_is_free(paid: bool) -> None:
+    sessions = ts.TokenSessions()
+    ask(sessions, 1, paid)
+    sessions.handle(0.0, ts.SessionStarted(1))
+    sessions.handle(0.0, ts.SessionEnded(1))
+    assert ask(sessions, 2, paid) == (
+        [ts.Reject(2, ts.RejectionReason.SESSION_OVER)] if paid else [ts.OpenSession(2, 2)]
+    )
+    failed = ts.TokenSessions()
     ask(failed, 1, paid)
-    assert failed.handle(0.0, cl.Failed(1)) == [cl.TellFailed(1, 1)]
-    assert ask(failed, 2, paid) == ([cl.TurnDown(2, cl.Why.FAILED)] if paid else [cl.Open(2, 2)])
+    assert failed.handle(0.0, ts.Failed(1)) == [ts.SendFailure(1, 1)]
+    assert ask(failed, 2, paid) == (
+        [ts.Reject(2, ts.RejectionReason.MAY_HAVE_RUN)] if paid else [ts.OpenSession(2, 2)]
+    )
 
 
-def test_a_refusal_leaves_the_token_as_it_was() -> None:
-    claims = cl.Claims()
-    ask(claims, 1)
-    assert claims.handle(0.0, cl.Refused(1)) == [cl.TellRefused(1, 1)]
-    assert ask(claims, 2) == [cl.Open(2, 2)]
+def test_a_refused_token_may_open_a_session_later() -> None:
+    sessions = ts.TokenSessions()
+    ask(sessions, 1)
+    assert sessions.handle(0.0, ts.Refused(1)) == [ts.SendRefusal(1, 1)]
+    assert ask(sessions, 2) == [ts.OpenSession(2, 2)]
 
 
 @pytest.mark.parametrize(("ran", "paid"), [(True, True), (False, True), (True, False)])
-def test_the_last_to_hang_up_withdraws(ran: bool, paid: bool) -> None:
-    claims = cl.Claims()
-    ask(claims, 1, paid)
-    ask(claims, 2, paid)
-    assert claims.handle(0.0, cl.HungUp(1)) == []
-    assert claims.handle(0.0, cl.HungUp(2)) == [cl.Withdraw(1)]
-    assert ask(claims, 3, paid) == [cl.TurnDown(3, cl.Why.FAILED if paid else cl.Why.BUSY)]
-    assert claims.handle(0.0, cl.Plays(1)) == []
-    claims.handle(0.0, cl.Over(1, ran))
+def test_the_session_is_withdrawn_when_the_last_waiting_client_disconnects(ran: bool, paid: bool) -> None:
+    sessions = ts.TokenSessions()
+    ask(sessions, 1, paid)
+    ask(sessions, 2, paid)
+    assert sessions.handle(0.0, ts.ClientDisconnected(1)) == []
+    assert sessions.handle(0.0, ts.ClientDisconnected(2)) == [ts.Withdraw(1)]
+    assert ask(sessions, 3, paid) == [
+        ts.Reject(3, ts.RejectionReason.MAY_HAVE_RUN if paid else ts.RejectionReason.CANCELLING)
+    ]
+    assert sessions.handle(0.0, ts.SessionStarted(1)) == []
+    sessions.handle(0.0, ts.SessionEnded(1, ran))
     spent = paid and ran
-    assert ask(claims, 4, paid) == ([cl.TurnDown(4, cl.Why.FAILED)] if spent else [cl.Open(2, 4)])
+    assert ask(sessions, 4, paid) == (
+        [ts.Reject(4, ts.RejectionReason.MAY_HAVE_RUN)] if spent else [ts.OpenSession(2, 4)]
+    )
 
 
-def test_what_is_spent_is_forgotten_at_its_expiry_and_no_sooner() -> None:
-    claims = cl.Claims()
-    claims.handle(0.0, cl.Recalled("t", 100.0, played=False))
-    assert ask(claims, 1) == [cl.TurnDown(1, cl.Why.FAILED)]
-    claims.handle(99.9, cl.HungUp(7))
-    assert not claims.is_new("t")
-    claims.handle(100.0, cl.HungUp(7))
-    assert claims.is_new("t")
-    assert len(claims) == 0
+def test_a_spent_token_is_dropped_when_it_expires_and_not_before() -> None:
+    sessions = ts.TokenSessions()
+    sessions.handle(0.0, ts.Restored("t", 100.0, played=False))
+    assert ask(sessions, 1) == [ts.Reject(1, ts.RejectionReason.MAY_HAVE_RUN)]
+    sessions.handle(99.9, ts.ClientDisconnected(7))
+    assert not sessions.is_new("t")
+    sessions.handle(100.0, ts.ClientDisconnected(7))
+    assert sessions.is_new("t")
+    assert len(sessions) == 0
 
 
-class ClaimsMachine(RuleBasedStateMachine):
-    """Against any order of events: each request answered once, each paid token opened once unless refused."""
+class TokenSessionsMachine(RuleBasedStateMachine):
+    """Any order of events: each request is answered once; a paid token opens one session unless refused."""
 
     @initialize()
     def begin(self) -> None:
-        self.claims = cl.Claims()
+        self.token_sessions = ts.TokenSessions()
         self.request = 0
-        self.open: dict[int, str] = {}  # sessions that the module still owes an answer
+        self.open: dict[int, str] = {}  # sessions without an answer of the module
         self.playing: dict[int, str] = {}
         self.left: dict[int, str] = {}
         self.waiting: set[int] = set()
         self.answered: set[int] = set()
         self.spent: set[str] = set()
-        # taken up again by whoever asks: no set-up, so nothing is spent
+        # parked and resumed: no new set-up, so nothing is spent
         self.adopted_parked: set[str] = set()
 
-    def take(self, actions: list[cl.Action], token: str = "") -> None:
+    def take(self, actions: list[ts.Action], token: str = "") -> None:
         for action in actions:
-            if isinstance(action, cl.Open):
+            if isinstance(action, ts.OpenSession):
                 assert token not in self.spent
                 busy = {*self.open.values(), *self.playing.values(), *self.left.values()}
                 assert token not in busy or token in self.adopted_parked
                 self.open[action.session] = token
-            elif isinstance(action, cl.Withdraw):
+            elif isinstance(action, ts.Withdraw):
                 self.left[action.session] = self.open.pop(action.session)
             else:
-                assert not isinstance(action, cl.Adopted | cl.Superfluous)
+                assert not isinstance(action, ts.Adopted | ts.DuplicateSetUp)
                 assert action.request in self.waiting
                 assert action.request not in self.answered
                 self.answered.add(action.request)
@@ -111,25 +121,27 @@
         self.request += 1
         self.waiting.add(self.request)
         paid = token.startswith("paid")
-        self.take(self.claims.handle(0.0, cl.Requested(self.request, token, paid, 1e9, expired)), token)
+        self.take(
+            self.token_sessions.handle(0.0, ts.Requested(self.request, token, paid, 1e9, expired)), token
+        )
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
     def hung_up(self, data: st.DataObject) -> None:
         request = data.draw(st.sampled_from(sorted(self.waiting)))
         self.waiting.discard(request)
-        self.take(self.claims.handle(0.0, cl.HungUp(request)))
+        self.take(self.token_sessions.handle(0.0, ts.ClientDisconnected(request)))
 
     @precondition(lambda self: self.open)
-    @rule(data=st.data(), how=st.sampled_from([cl.Plays, cl.Refused, cl.Failed]))
+    @rule(data=st.data(), how=st.sampled_from([ts.SessionStarted, ts.Refused, ts.Failed]))
     def answered_by_module(self, data: st.DataObject, how: Any) -> None:
         session = data.draw(st.sampled_from(sorted(self.open)))
         token = self.open.pop(session)
-        if how is cl.Plays:
+        if how is ts.SessionStarted:
             self.playing[session] = token
-        elif how is cl.Failed and token.startswith("paid") and token not in self.adopted_parked:
+        elif how is ts.Failed and token.startswith("paid") and token not in self.adopted_parked:
             self.spent.add(token)
-        self.take(self.claims.handle(0.0, how(session)))
+        self.take(self.token_sessions.handle(0.0, how(session)))
 
     @precondition(lambda self: self.playing or self.left)
     @rule(data=st.data(), ran=st.booleans())
@@ -139,25 +151,25 @@
         token = self.playing.pop(session, None) or self.left.pop(session)
         if ran and token.startswith("paid") and token not in self.adopted_parked:
             self.spent.add(token)
-        self.take(self.claims.handle(0.0, cl.Over(session, ran)))
+        self.take(self.token_sessions.handle(0.0, ts.SessionEnded(session, ran)))
 
     @invariant()
-    def who_waits_waits_on_an_open_session(self) -> None:
+    def requests_wait_only_on_open_sessions(self) -> None:
         if hasattr(self, "open"):
             assert bool(self.waiting) == bool(self.open)
 
 
-TestClaimsMachine = ClaimsMachine.TestCase
-TestClaimsMachine.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestTokenSessionsMachine = TokenSessionsMachine.TestCase
+TestTokenSessionsMachine.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
-class FleetClaimsMachine(ClaimsMachine):
-    """The same where directors take over each other's sessions: a request may also be handed on, once."""
+class FleetTokenSessionsMachine(TokenSessionsMachine):
+    """The same where directors take over each other's sessions: a request may also be forwarded, once."""
 
     @initialize()
     def begin(self) -> None:
         super().begin()
-        self.claims = cl.Claims(fleet=True)
+        self.token_sessions = ts.TokenSessions(fleet=True)
         self.adopted = 0
 
     @precondition(lambda self: self.open)
@@ -165,15 +177,15 @@
     def claimed_elsewhere(self, data: st.DataObject) -> None:
         session = data.draw(st.sampled_from(sorted(self.open)))
         del self.open[session]
-        self.take(self.claims.handle(0.0, cl.Elsewhere(session)))
+        self.take(self.token_sessions.handle(0.0, ts.OwnedElsewhere(session)))
 
     @precondition(lambda self: self.playing)
     @rule(data=st.data())
     def taken_over(self, data: st.DataObject) -> None:
         session = data.draw(st.sampled_from(sorted(self.playing)))
         token = self.playing.pop(session)
-        self.take(self.claims.handle(0.0, cl.Elsewhere(session)))
-        assert self.claims.is_new(token) and self.claims.playing(token) is None
+        self.take(self.token_sessions.handle(0.0, ts.OwnedElsewhere(session)))
+        assert self.token_sessions.is_new(token) and self.token_sessions.playing_session(token) is None
 
     @rule(token=st.sampled_from(["paid-1", "paid-2", "free-1"]), parked=st.booleans())
     def adopt(self, token: str, parked: bool) -> None:
@@ -182,56 +194,56 @@
         if parked:
             self.adopted_parked.add(token)
         plays = token in self.playing.values()
-        place = cl.Place(7, f"set-up-{self.adopted}", "path")
-        adopt = cl.Adopt(token, token.startswith("paid"), 1e9, place, 1e9 if parked else 0.0)
-        actions = self.claims.handle(0.0, adopt)
-        assert (cl.Superfluous() in actions) is plays
+        place = ts.ParkedLocation(7, f"set-up-{self.adopted}", "path")
+        adopt = ts.Adopt(token, token.startswith("paid"), 1e9, place, 1e9 if parked else 0.0)
+        actions = self.token_sessions.handle(0.0, adopt)
+        assert (ts.DuplicateSetUp() in actions) is plays
         for action in actions:
-            if isinstance(action, cl.Adopted):
+            if isinstance(action, ts.Adopted):
                 self.playing[action.session] = token
-        self.take([a for a in actions if not isinstance(a, cl.Adopted | cl.Superfluous)])
-        assert plays or parked or self.claims.playing(token) is not None
+        self.take([a for a in actions if not isinstance(a, ts.Adopted | ts.DuplicateSetUp)])
+        assert plays or parked or self.token_sessions.playing_session(token) is not None
         self.spent.discard(token)
 
     @precondition(lambda self: self.adopted)
     @rule()
     def parked_is_taken_over(self) -> None:
-        self.claims.handle(0.0, cl.Lost(f"set-up-{self.adopted}"))
+        self.token_sessions.handle(0.0, ts.ParkedTakenOver(f"set-up-{self.adopted}"))
 
 
-TestFleetClaimsMachine = FleetClaimsMachine.TestCase
-TestFleetClaimsMachine.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestFleetTokenSessionsMachine = FleetTokenSessionsMachine.TestCase
+TestFleetTokenSessionsMachine.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
-def test_what_an_earlier_run_had_is_asked_about_where_others_may_have_it() -> None:
+def test_a_restored_token_queries_its_owner_if_directors_take_over_sessions() -> None:
     for fleet in (False, True):
-        claims = cl.Claims(fleet)
-        claims.handle(0.0, cl.Recalled("t", 100.0, True))
-        (answer,) = claims.handle(1.0, cl.Requested(1, "t", True, 100.0, False))
-        assert answer == (cl.AskAbout(1) if fleet else cl.TurnDown(1, cl.Why.PLAYED))
+        sessions = ts.TokenSessions(fleet)
+        sessions.handle(0.0, ts.Restored("t", 100.0, True))
+        (answer,) = sessions.handle(1.0, ts.Requested(1, "t", True, 100.0, False))
+        assert answer == (ts.QueryOwner(1) if fleet else ts.Reject(1, ts.RejectionReason.SESSION_OVER))
 
 
-def test_an_adopted_session_answers_whoever_waits_and_calls_its_own_off() -> None:
-    claims = cl.Claims(fleet=True)
-    (opened,) = claims.handle(0.0, cl.Requested(1, "t", True, 100.0, False))
-    assert isinstance(opened, cl.Open)
-    actions = claims.handle(0.0, cl.Adopt("t", True, 100.0, cl.Place(7, "d1.1-1-0", "p")))
-    assert actions == [cl.Withdraw(opened.session), cl.Adopted(2), cl.Show(1, 2)]
-    assert claims.handle(0.0, cl.Over(opened.session, ran=False)) == []
-    assert claims.playing("t") == 2  # the end of the one called off is not the adopted one's
+def test_an_adopted_session_answers_waiting_requests_and_withdraws_the_one_asked_for() -> None:
+    sessions = ts.TokenSessions(fleet=True)
+    (opened,) = sessions.handle(0.0, ts.Requested(1, "t", True, 100.0, False))
+    assert isinstance(opened, ts.OpenSession)
+    actions = sessions.handle(0.0, ts.Adopt("t", True, 100.0, ts.ParkedLocation(7, "d1.1-1-0", "p")))
+    assert actions == [ts.Withdraw(opened.session), ts.Adopted(2), ts.SendManifest(1, 2)]
+    assert sessions.handle(0.0, ts.SessionEnded(opened.session, ran=False)) == []
+    assert sessions.playing_session("t") == 2  # the end of the withdrawn session does not end the adopted one
 
 
-def test_set_ups_of_an_earlier_run_keep_their_names_when_a_run_begins() -> None:
+def test_set_ups_of_an_earlier_run_keep_their_ids_when_the_prefix_changes() -> None:
     attempts = at.Attempts("d0.a")
     attempts.handle(0.0, at.Send(1, 0, 7, 2, False, 1000.0))
     attempts.handle(1.0, DONE)
-    attempts.handle(2.0, at.Renewed("d0.b"))
+    attempts.handle(2.0, at.PrefixChanged("d0.b"))
     attempts.handle(3.0, at.Send(2, 0, 7, 2, False, 1000.0))
     assert (attempts.set_up_id(1, 0), attempts.set_up_id(2, 0)) == ("d0.a-1-0", "d0.b-2-0")
-    assert attempts.own("d0.a-1-0") == (1, 0) and attempts.knows("d0.a-1-0")
-    assert attempts.own("d0.a-9-0") is None  # of the earlier run, and not known to play
+    assert attempts.attempt_of("d0.a-1-0") == (1, 0) and attempts.is_known("d0.a-1-0")
+    assert attempts.attempt_of("d0.a-9-0") is None  # of the earlier run, but not known
     assert attempts.handle(4.0, at.EndedAtBox(1, 0, fl.Outcome.OK))
-    assert attempts.own("d0.a-1-0") is None and len(attempts._names) == 0
+    assert attempts.attempt_of("d0.a-1-0") is None and len(attempts._set_up_ids) == 0
 
 
 # ---- Attempts ---------------------------------------------------------------------------------------------
@@ -241,126 +253,128 @@
 
 
 def outcomes(actions: list[at.Action]) -> list[fl.Outcome]:
-    return [action.outcome for action in actions if isinstance(action, at.TellEnded)]
+    return [action.outcome for action in actions if isinstance(action, at.ReportEnded)]
 
 
 def kinds(actions: list[at.Action]) -> list[type]:
     return [type(action) for action in actions]
 
 
-def test_a_free_set_up_goes_at_once_and_a_paid_one_after_its_record() -> None:
+def test_a_free_set_up_is_sent_at_once_and_a_paid_one_after_its_intent() -> None:
     free, paid = at.Attempts("d"), at.Attempts("d")
-    assert kinds(free.handle(0.0, SEND)) == [at.Put]
+    assert kinds(free.handle(0.0, SEND)) == [at.StartSetUp]
     assert kinds(paid.handle(0.0, PAID)) == [at.WriteIntent]
-    assert kinds(paid.handle(1.0, at.IntentDurable(1, 0))) == [at.Put]
-    assert kinds(paid.handle(2.0, DONE)) == [at.TellStarted]
+    assert kinds(paid.handle(1.0, at.IntentDurable(1, 0))) == [at.StartSetUp]
+    assert kinds(paid.handle(2.0, DONE)) == [at.ReportStarted]
 
 
 @pytest.mark.parametrize("why", ["drains", "gone", "late", "unwanted", "disk"])
-def test_a_paid_set_up_that_must_not_leave_any_more_was_never_sent(why: str) -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, PAID)
+def test_a_paid_set_up_that_must_not_be_sent_any_more_ends_as_never_sent(why: str) -> None:
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, PAID)
     now = 1.0
     event: at.Event = at.IntentDurable(1, 0)
     if why in ("drains", "gone"):
-        made.handle(0.0, at.Drains(7, why == "gone"))
+        attempts.handle(0.0, at.BoxDraining(7, why == "gone"))
     elif why == "late":
         now = 1000.0
     elif why == "unwanted":
-        assert made.handle(0.0, at.CallOff(1)) == []
+        assert attempts.handle(0.0, at.CancelSession(1)) == []
     else:
         event = at.IntentFailed(1, 0)
-    actions = made.handle(now, event)
-    assert kinds(actions) == [at.TellEnded]
+    actions = attempts.handle(now, event)
+    assert kinds(actions) == [at.ReportEnded]
     assert outcomes(actions) == [fl.Outcome.NEVER_SENT]
-    assert not made.holds(1)
+    assert not attempts.has_attempt(1)
 
 
 @pytest.mark.parametrize(
-    ("loss", "left", "outcome", "ghost"),
+    ("failure", "sent", "outcome", "orphan"),
     [
-        (at.Loss.CONNECT, False, fl.Outcome.CONNECT_FAILED, False),
-        (at.Loss.TIMEOUT, False, fl.Outcome.NEVER_SENT, False),
-        (at.Loss.CANCELLED, False, fl.Outcome.NEVER_SENT, False),
-        (at.Loss.RESET, True, fl.Outcome.RESET, True),
-        (at.Loss.TIMEOUT, True, fl.Outcome.TIMEOUT, True),
-        (at.Loss.GARBAGE, True, fl.Outcome.ERROR, True),
-        (at.Loss.CANCELLED, True, fl.Outcome.CANCELLED, True),
+        (at.CallFailure.CONNECT, False, fl.Outcome.CONNECT_FAILED, False),
+        (at.CallFailure.TIMEOUT, False, fl.Outcome.NEVER_SENT, False),
+        (at.CallFailure.CANCELLED, False, fl.Outcome.NEVER_SENT, False),
+        (at.CallFailure.RESET, True, fl.Outcome.RESET, True),
+        (at.CallFailure.TIMEOUT, True, fl.Outcome.TIMEOUT, True),
+        (at.CallFailure.UNREADABLE, True, fl.Outcome.ERROR, True),
+        (at.CallFailure.CANCELLED, True, fl.Outcome.CANCELLED, True),
     ],
 )
-def test_a_call_without_an_answer_is_never_sent_only_where_that_is_proved(
-    loss: at.Loss, left: bool, outcome: fl.Outcome, ghost: bool
+def test_a_failed_call_ends_as_unrun_only_if_nothing_was_sent(
+    failure: at.CallFailure, sent: bool, outcome: fl.Outcome, orphan: bool
 ) -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
-    actions = made.handle(1.0, at.Lost(1, 0, loss, left))
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
+    actions = attempts.handle(1.0, at.CallFailed(1, 0, failure, sent))
     assert outcomes(actions) == [outcome]
-    assert made.ghosts == ghost
-    assert outcome.proves_unrun is not ghost
-    if ghost:
+    assert attempts.orphan_count == orphan
+    assert outcome.proves_unrun is not orphan
+    if orphan:
         assert actions[0] == at.Release("d-1-0", 7)
-        assert made.handle(2.0, at.ReleaseFailed("d-1-0")) == [at.Release("d-1-0", 7, again=True)]
-        made.handle(3.0, at.Released("d-1-0"))
-        assert made.ghosts == 0
-        assert made.handle(4.0, at.ReleaseFailed("d-1-0")) == []
-
-
-def test_a_word_on_the_record_after_the_set_up_left_changes_nothing() -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
-    assert made.handle(0.0, at.IntentFailed(1, 0)) == []
-    made.handle(0.0, DONE)
-    assert made.handle(0.0, at.IntentFailed(1, 0)) == []
-    assert made.plays_at(1) == (7, 0)
-
-
-def test_a_drain_stops_only_what_has_not_left() -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
-    assert made.handle(0.0, at.Drains(7, False)) == [at.AbortPut(1, 0, if_unsent=True)]
-    assert made.handle(0.0, at.Drains(7, False)) == []
-
-
-def test_an_answer_that_meets_its_viewers_leaving_becomes_a_ghost() -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
-    made.handle(0.0, at.CallOff(1))
-    actions = made.handle(1.0, DONE)
-    assert kinds(actions) == [at.Release, at.TellEnded]
+        assert attempts.handle(2.0, at.ReleaseFailed("d-1-0")) == [at.Release("d-1-0", 7, retry=True)]
+        attempts.handle(3.0, at.Released("d-1-0"))
+        assert attempts.orphan_count == 0
+        assert attempts.handle(4.0, at.ReleaseFailed("d-1-0")) == []
+
+
+def test_a_failed_intent_after_the_set_up_was_sent_changes_nothing() -> None:
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
+    assert attempts.handle(0.0, at.IntentFailed(1, 0)) == []
+    attempts.handle(0.0, DONE)
+    assert attempts.handle(0.0, at.IntentFailed(1, 0)) == []
+    assert attempts.playing_at(1) == (7, 0)
+
+
+def test_a_drain_stops_only_set_ups_that_are_unsent() -> None:
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
+    assert attempts.handle(0.0, at.BoxDraining(7, False)) == [at.AbortSetUp(1, 0, if_unsent=True)]
+    assert attempts.handle(0.0, at.BoxDraining(7, False)) == []
+
+
+def test_an_answer_after_the_viewer_left_leaves_an_orphan() -> None:
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
+    attempts.handle(0.0, at.CancelSession(1))
+    actions = attempts.handle(1.0, DONE)
+    assert kinds(actions) == [at.Release, at.ReportEnded]
     assert outcomes(actions) == [fl.Outcome.CANCELLED]
 
 
-def test_a_rung_set_during_the_set_up_reaches_the_box_after_it() -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
-    assert made.handle(0.0, at.Rung(1, 1)) == []
-    assert made.handle(1.0, DONE)[1] == at.PutRung(1, 0, 7, 1)
-    assert made.handle(2.0, at.Rung(1, 0)) == [at.PutRung(1, 0, 7, 0)]
-    assert made.handle(2.0, at.Rung(1, 0)) == []
+def test_a_rung_changed_during_the_set_up_is_sent_after_the_answer() -> None:
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
+    assert attempts.handle(0.0, at.RungChanged(1, 1)) == []
+    assert attempts.handle(1.0, DONE)[1] == at.SendRung(1, 0, 7, 1)
+    assert attempts.handle(2.0, at.RungChanged(1, 0)) == [at.SendRung(1, 0, 7, 0)]
+    assert attempts.handle(2.0, at.RungChanged(1, 0)) == []
 
 
-def test_what_a_box_says_it_holds_is_judged_by_its_process_and_its_counter() -> None:
+def test_sessions_that_a_box_does_not_report_are_lost_by_its_process_and_counter() -> None:
     def playing() -> at.Attempts:
-        made = at.Attempts("d")
-        made.handle(0.0, SEND)
-        made.handle(0.0, DONE)
-        return made
+        attempts = at.Attempts("d")
+        attempts.handle(0.0, SEND)
+        attempts.handle(0.0, DONE)
+        return attempts
 
     assert playing().handle(1.0, at.BoxLost(7, "boot", frozenset({"d-1-0"}), 5)) == []
-    assert playing().handle(1.0, at.BoxLost(7, "boot", frozenset(), 4)) == []  # hello was before it
+    assert (
+        playing().handle(1.0, at.BoxLost(7, "boot", frozenset(), 4)) == []
+    )  # the hello was sent before the set-up
     assert outcomes(playing().handle(1.0, at.BoxLost(7, "boot", frozenset(), 5))) == [fl.Outcome.RESET]
     assert outcomes(playing().handle(1.0, at.BoxLost(7, "other", frozenset(), 0))) == [fl.Outcome.RESET]
     assert outcomes(playing().handle(1.0, at.BoxLost(7))) == [fl.Outcome.RESET]
     assert playing().handle(1.0, at.BoxLost(8)) == []
-    stranger = playing().handle(1.0, at.BoxLost(7, "boot", frozenset({"d-1-0", "d.old-4-0", "x"}), 5))
-    assert stranger == [at.Release("d.old-4-0", 7), at.Release("x", 7)]
+    unknown = playing().handle(1.0, at.BoxLost(7, "boot", frozenset({"d-1-0", "d.old-4-0", "x"}), 5))
+    assert unknown == [at.Release("d.old-4-0", 7), at.Release("x", 7)]
 
 
 def test_two_attempts_of_a_session_are_never_out_at_once() -> None:
-    made = at.Attempts("d")
-    made.handle(0.0, SEND)
+    attempts = at.Attempts("d")
+    attempts.handle(0.0, SEND)
     with pytest.raises(RuntimeError, match="has an attempt out already"):
-        made.handle(0.0, at.Send(1, 1, 8, 2, False, 1000.0))
+        attempts.handle(0.0, at.Send(1, 1, 8, 2, False, 1000.0))
 
 
 EVENTS = st.one_of(
@@ -375,9 +389,11 @@
         st.integers(0, 5),
         st.sampled_from(["x", "y"]),
     ),
-    st.builds(at.Lost, st.integers(1, 3), st.integers(0, 1), st.sampled_from(at.Loss), st.booleans()),
-    st.builds(at.CallOff, st.integers(1, 3)),
-    st.builds(at.Rung, st.integers(1, 3), st.integers(0, 2)),
+    st.builds(
+        at.CallFailed, st.integers(1, 3), st.integers(0, 1), st.sampled_from(at.CallFailure), st.booleans()
+    ),
+    st.builds(at.CancelSession, st.integers(1, 3)),
+    st.builds(at.RungChanged, st.integers(1, 3), st.integers(0, 2)),
     st.builds(
         at.EndedAtBox,
         st.integers(1, 3),
@@ -387,142 +403,144 @@
     st.builds(
         at.BoxLost, st.integers(7, 8), st.sampled_from([None, "x", "y"]), st.just(frozenset()), st.just(3)
     ),
-    st.builds(at.Drains, st.integers(7, 8), st.booleans()),
-    st.builds(at.Serves, st.integers(7, 8)),
+    st.builds(at.BoxDraining, st.integers(7, 8), st.booleans()),
+    st.builds(at.BoxReady, st.integers(7, 8)),
 )
 
 
 @given(st.lists(st.tuples(EVENTS, st.booleans(), st.integers(7, 8)), max_size=60))
-def test_under_any_events_each_attempt_ends_once_and_none_leaves_for_a_closed_box(
+def test_each_attempt_ends_once_and_none_is_sent_to_a_closed_box_under_any_events(
     script: list[tuple[at.Event, bool, int]],
 ) -> None:
-    made = at.Attempts("d")
+    attempts = at.Attempts("d")
     sent: dict[int, int] = {}
     out: dict[tuple[int, int], str] = {}
     closed: set[int] = set()
-    ghosts: set[str] = set()
+    orphans: set[str] = set()
 
     def take(actions: list[at.Action], durable: bool = False) -> None:
         for action in actions:
-            if isinstance(action, at.Put):
+            if isinstance(action, at.StartSetUp):
                 assert out[action.session, action.attempt] == "asked"
                 assert not (durable and action.node in closed)
                 out[action.session, action.attempt] = "sent"
-            elif isinstance(action, at.TellStarted):
+            elif isinstance(action, at.ReportStarted):
                 assert out[action.session, action.attempt] == "sent"
                 out[action.session, action.attempt] = "playing"
-            elif isinstance(action, at.TellEnded):
+            elif isinstance(action, at.ReportEnded):
                 was = out.pop((action.session, action.attempt))
-                assert action.playing == (was == "playing")
+                assert action.had_started == (was == "playing")
                 unrun = action.outcome.proves_unrun
                 assert not (unrun and was == "playing")
                 if was == "sent" and not unrun and action.outcome is not fl.Outcome.ERROR:
-                    assert f"d-{action.session}-{action.attempt}" in ghosts
+                    assert f"d-{action.session}-{action.attempt}" in orphans
             elif isinstance(action, at.Release):
-                ghosts.add(action.set_up)
+                orphans.add(action.set_up)
 
     for event, paid, node in script:
         session = len(sent) % 3 + 1
-        if not made.holds(session) and node not in closed:
+        if not attempts.has_attempt(session) and node not in closed:
             attempt = sent.get(session, -1) + 1
             sent[session] = attempt
             out[session, attempt] = "asked"
-            take(made.handle(0.0, at.Send(session, attempt, node, 1, paid, 1e9)))
-        if isinstance(event, at.Drains):
+            take(attempts.handle(0.0, at.Send(session, attempt, node, 1, paid, 1e9)))
+        if isinstance(event, at.BoxDraining):
             closed.add(event.node)
-        elif isinstance(event, at.Serves):
+        elif isinstance(event, at.BoxReady):
             closed.discard(event.node)
-        take(made.handle(0.0, event), durable=isinstance(event, at.IntentDurable))
-        assert {session for session, _ in out} == {s for s in (1, 2, 3) if made.holds(s)}
+        take(attempts.handle(0.0, event), durable=isinstance(event, at.IntentDurable))
+        assert {session for session, _ in out} == {s for s in (1, 2, 3) if attempts.has_attempt(s)}
         assert len({session for session, _ in out}) == len(out)  # one attempt out at a time
 
 
 # ---- Links ------------------------------------------------------------------------------------------------
-def test_a_stream_is_held_and_its_silence_counts_as_loss_only_in_the_end() -> None:
+def test_a_stream_is_kept_open_and_its_box_is_lost_only_after_the_loss_timer() -> None:
     link = ln.Link(250.0, 2000.0)
-    assert link.handle(ln.Wanted()) == [ln.OpenStream(), ln.Await(2000.0, 1)]
-    assert link.handle(ln.Wanted()) == []
-    assert link.handle(ln.Greeted()) == [ln.Compare()]
-    assert link.handle(ln.LossDue(1)) == []  # of a silence that is over
-    broken = link.handle(ln.Broken())
-    assert broken == [ln.Await(2000.0, 3), ln.Retry(0.0, 3)]
+    assert link.handle(ln.StreamNeeded()) == [ln.OpenStream(), ln.StartLossTimer(2000.0, 1)]
+    assert link.handle(ln.StreamNeeded()) == []
+    assert link.handle(ln.HelloReceived()) == [ln.CompareSessions()]
+    assert link.handle(ln.LossTimeout(1)) == []  # of an earlier generation
+    broken = link.handle(ln.Disconnected())
+    assert broken == [ln.StartLossTimer(2000.0, 3), ln.StartRetryTimer(0.0, 3)]
     assert link.handle(ln.RetryDue(3)) == [ln.OpenStream()]
-    assert link.handle(ln.Broken()) == [ln.Retry(250.0, 3)]
-    assert link.handle(ln.LossDue(3)) == [ln.AllLost(), ln.Await(2000.0, 3)]
+    assert link.handle(ln.Disconnected()) == [ln.StartRetryTimer(250.0, 3)]
+    assert link.handle(ln.LossTimeout(3)) == [ln.AllSessionsLost(), ln.StartLossTimer(2000.0, 3)]
     assert link.handle(ln.RetryDue(3)) == [ln.OpenStream()]
-    assert link.handle(ln.Greeted()) == [ln.Compare()]
+    assert link.handle(ln.HelloReceived()) == [ln.CompareSessions()]
     assert link.open
-    assert link.handle(ln.Unwanted()) == [ln.CloseStream()]
-    assert link.handle(ln.Broken()) == []
+    assert link.handle(ln.StreamUnneeded()) == [ln.CloseStream()]
+    assert link.handle(ln.Disconnected()) == []
 
 
 @given(st.lists(st.sampled_from(["wanted", "unwanted", "greeted", "broken", "retry", "loss"]), max_size=40))
-def test_a_link_never_opens_a_stream_twice_and_never_forgets_a_silence(script: list[str]) -> None:
+def test_a_link_never_opens_a_stream_twice_and_reports_a_loss_only_while_it_is_closed(
+    script: list[str],
+) -> None:
     link = ln.Link(250.0, 2000.0)
     opened = 0
-    waits: list[ln.Retry] = []
-    awaited: list[ln.Await] = []
-    for word in script:
+    waits: list[ln.StartRetryTimer] = []
+    awaited: list[ln.StartLossTimer] = []
+    for step in script:
         event: ln.Event
-        match word:
+        match step:
             case "wanted":
-                event = ln.Wanted()
+                event = ln.StreamNeeded()
             case "unwanted":
-                event = ln.Unwanted()
+                event = ln.StreamUnneeded()
             case "greeted":
-                event = ln.Greeted()
+                event = ln.HelloReceived()
             case "broken":
-                event = ln.Broken()
+                event = ln.Disconnected()
             case "retry" if waits:
-                event = ln.RetryDue(waits.pop(0).turn)
+                event = ln.RetryDue(waits.pop(0).generation)
             case "loss" if awaited:
-                event = ln.LossDue(awaited.pop(0).turn)
+                event = ln.LossTimeout(awaited.pop(0).generation)
             case _:
                 continue
         was_open = link.open
         actions = link.handle(event)
         opened += kinds_of(actions, ln.OpenStream) - kinds_of(actions, ln.CloseStream)
-        if word == "broken" and kinds_of(actions, ln.Retry):
+        if step == "broken" and kinds_of(actions, ln.StartRetryTimer):
             opened -= 1
         assert 0 <= opened <= 1
-        if kinds_of(actions, ln.AllLost):
+        if kinds_of(actions, ln.AllSessionsLost):
             assert not was_open
-        waits += [action for action in actions if isinstance(action, ln.Retry)]
-        awaited += [action for action in actions if isinstance(action, ln.Await)]
+        waits += [action for action in actions if isinstance(action, ln.StartRetryTimer)]
+        awaited += [action for action in actions if isinstance(action, ln.StartLossTimer)]
 
 
 def kinds_of(actions: list[ln.Action], kind: type) -> int:
     return sum(isinstance(action, kind) for action in actions)
 
 
-def test_parked_sessions_are_forgotten_with_their_tokens_and_never_before() -> None:
-    made = cl.Claims()
+def test_parked_sessions_are_dropped_when_their_tokens_expire_and_not_before() -> None:
+    sessions = ts.TokenSessions()
     for k in range(500):
         token, now = f"t{k}", float(k)
-        (opened,) = made.handle(now, cl.Requested(k, token, True, now + 100.0, False))
-        assert isinstance(opened, cl.Open) and opened.place is None
-        made.handle(now, cl.Plays(opened.session))
-        made.handle(now, cl.Parked(opened.session, now + 30.0, cl.Place(1, f"s{k}", "p")))
-        assert len(made) <= 101
-    # past its park but not past its token: it must not look like a new one, or it would be set up again
-    assert made.handle(540.0, cl.Requested(900, "t499", True, 599.0, False)) == [
-        cl.TurnDown(900, cl.Why.PLAYED)
+        (opened,) = sessions.handle(now, ts.Requested(k, token, True, now + 100.0, False))
+        assert isinstance(opened, ts.OpenSession) and opened.location is None
+        sessions.handle(now, ts.SessionStarted(opened.session))
+        sessions.handle(now, ts.Parked(opened.session, now + 30.0, ts.ParkedLocation(1, f"s{k}", "p")))
+        assert len(sessions) <= 101
+    # parked for too long, but the token has not expired: it must not count as new and be set up again
+    assert sessions.handle(540.0, ts.Requested(900, "t499", True, 599.0, False)) == [
+        ts.Reject(900, ts.RejectionReason.SESSION_OVER)
     ]
-    made.handle(700.0, cl.HungUp(0))
-    assert len(made) == 0
-
-
-def test_what_is_taken_up_names_its_place_until_it_plays() -> None:
-    made, place = cl.Claims(), cl.Place(3, "s1", "p")
-    (opened,) = made.handle(0.0, cl.Requested(1, "t", True, 100.0, False))
-    assert isinstance(opened, cl.Open)
-    made.handle(0.0, cl.Plays(opened.session))
-    made.handle(1.0, cl.Parked(opened.session, 50.0, place))
-    for end in (cl.Refused, cl.Failed):
-        (again,) = made.handle(2.0, cl.Requested(2, "t", True, 100.0, True))  # expired meanwhile
-        assert isinstance(again, cl.Open) and again.place == place
-        assert len(made.handle(2.0, end(again.session))) == 1  # told, and nothing is spent
-    (again,) = made.handle(3.0, cl.Requested(3, "t", True, 100.0, False))
-    assert isinstance(again, cl.Open) and again.place == place
-    assert made.handle(3.0, cl.Plays(again.session)) == [cl.Show(3, again.session)]
-    assert made.playing("t") == again.session
+    sessions.handle(700.0, ts.ClientDisconnected(0))
+    assert len(sessions) == 0
+
+
+def test_a_resumed_session_keeps_its_parked_location_until_it_plays() -> None:
+    sessions, place = ts.TokenSessions(), ts.ParkedLocation(3, "s1", "p")
+    (opened,) = sessions.handle(0.0, ts.Requested(1, "t", True, 100.0, False))
+    assert isinstance(opened, ts.OpenSession)
+    sessions.handle(0.0, ts.SessionStarted(opened.session))
+    sessions.handle(1.0, ts.Parked(opened.session, 50.0, place))
+    for end in (ts.Refused, ts.Failed):
+        (again,) = sessions.handle(2.0, ts.Requested(2, "t", True, 100.0, True))  # expired meanwhile
+        assert isinstance(again, ts.OpenSession) and again.location == place
+        assert len(sessions.handle(2.0, end(again.session))) == 1  # answered, and nothing is spent
+    (again,) = sessions.handle(3.0, ts.Requested(3, "t", True, 100.0, False))
+    assert isinstance(again, ts.OpenSession) and again.location == place
+    assert sessions.handle(3.0, ts.SessionStarted(again.session)) == [ts.SendManifest(3, again.session)]
+    assert sessions.playing_session("t") == again.session
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -1,4 +1,4 @@
-"""Work and memory of one director that must not grow with the fleet as a whole, or with all it serves."""
+"""Work and memory of one director must not grow with the size of the fleet or with all that it serves."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import platform_world
 import pytest
 
-from foxlift.accord import Registers, spread
-from foxlift.peers import State
+from foxlift.consensus import Proposer, rendezvous
+from foxlift.peers import PeerState
 from foxlift.platform import settings
 from foxlift.platform.stop import State as StopState
 from foxlift.platform.transport import PlatformDirector
 from foxlift.recovery import takeover
-from foxlift.zones import common
-from foxlift.zones.evidence import Evidence, Judgement
+from foxlift.zones import agreement
+from foxlift.zones.evidence import Evidence, ZoneAssessment
 from foxlift.zones.plan import Plan, Planner
 
-RUN = 7
+BOOT_EPOCH = 7
 DIRECTORS = 4_200
 NAMES = [f"director-{number:05d}" for number in range(DIRECTORS)]
 
@@ -31,20 +31,20 @@
 
 def after_deaths(names: list[str], dead: list[str]) -> takeover.Takeovers:
     machine = takeover.Takeovers(names[0], frozenset(names), seed=1)
-    there = tuple(name for name in names if name not in set(dead))
+    alive = tuple(name for name in names if name not in set(dead))
     for name in dead:
-        machine.handle(0.0, takeover.Seen(name, State.DEAD, RUN, there))
+        machine.handle(0.0, takeover.PeerChanged(name, PeerState.DEAD, BOOT_EPOCH, alive))
     return machine
 
 
 # ---- Takeovers --------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("seed", range(50))
-def test_the_first_of_some_names_is_the_first_of_their_order(seed: int) -> None:
+def test_the_first_of_a_subset_is_the_first_in_rank_order(seed: int) -> None:
     draw = random.Random(seed)
     names = [f"n{number}" for number in range(draw.randrange(1, 30))]
     key = f"key {seed}"
-    first = spread.holders_of(key, names, 1)[0]
-    assert [name for name in names if spread.is_first(key, name, names)] == [first]
+    first = rendezvous.replicas_of(key, names, 1)[0]
+    assert [name for name in names if rendezvous.is_first(key, name, names)] == [first]
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -53,15 +53,15 @@
     names = NAMES[: draw.randrange(2, 12)]
     dead = draw.sample(names[1:], draw.randrange(1, len(names)))
     machine = after_deaths(names, dead)
-    asked = machine.handle(0.0, takeover.Listed(servers(20)))
+    asked = machine.handle(0.0, takeover.BoxesListed(servers(20)))
     wanted = {(of, box) for of in dead for box in servers(20) if machine.successor(of, box) == names[0]}
     assert machine._work.keys() == wanted
     assert sum(isinstance(action, takeover.StartTimer) for action in asked) == len(wanted)
 
 
-def test_a_change_of_the_view_ranks_few_names_a_server(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_membership_change_ranks_few_names_per_server(monkeypatch: pytest.MonkeyPatch) -> None:
     machine = after_deaths(NAMES, NAMES[-1:])
-    machine.handle(0.0, takeover.Listed(servers(100)))
+    machine.handle(0.0, takeover.BoxesListed(servers(100)))
     ranked = 0
 
     def counted(key: str, name: str) -> bytes:
@@ -69,23 +69,23 @@
         ranked += 1
         return rank(key, name)
 
-    rank = spread.rank
-    monkeypatch.setattr(spread, "rank", counted)
-    machine.handle(0.0, takeover.Seen(NAMES[1], State.ALIVE, RUN + 1, tuple(NAMES[:-1])))
-    assert ranked < 100 * 100  # all names for each of 100 servers are 420,000
+    rank = rendezvous.rank
+    monkeypatch.setattr(rendezvous, "rank", counted)
+    machine.handle(0.0, takeover.PeerChanged(NAMES[1], PeerState.ALIVE, BOOT_EPOCH + 1, tuple(NAMES[:-1])))
+    assert ranked < 100 * 100  # ranking all names for each of 100 servers takes 420,000
 
 
-def test_whom_was_heard_of_since_the_deaths_of_a_zone_is_small() -> None:
+def test_the_directors_heard_from_since_a_zone_failed_take_little_memory() -> None:
     machine = after_deaths(NAMES, NAMES[-467:])
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
         for name in NAMES[1:2100]:
-            machine.handle(1.0, takeover.Heard(name))
+            machine.handle(1.0, takeover.PeerContacted(name))
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
-    assert held < 1_000_000  # a set of names each was 62 MB
+    assert held < 1_000_000  # with a set of names for each it was 62 MB
 
 
 def test_a_majority_is_counted_by_names_not_by_messages() -> None:
@@ -93,15 +93,15 @@
     machine = after_deaths(names, names[-1:])
     later = takeover.CERTAIN_MS + takeover.CERTAIN_PERIODS * machine.period_ms
     for name in (names[1], names[1], names[2], names[2], "of no settings", names[-1]):
-        machine.handle(1.0, takeover.Heard(name))
+        machine.handle(1.0, takeover.PeerContacted(name))
     assert not machine.certain(1.0 + later, names[-1])
-    machine.handle(1.0, takeover.Heard(names[3]))
+    machine.handle(1.0, takeover.PeerContacted(names[3]))
     assert machine.certain(1.0 + later, names[-1])
 
 
 # ---- Plans ------------------------------------------------------------------------------------------------
 class CountedNames(frozenset[str]):
-    """Counts how often a set of others is made of it."""
+    """Counts how often the set of other names is built."""
 
     others = 0
 
@@ -110,60 +110,64 @@
         return frozenset(self).difference(other)
 
 
-def test_an_old_plan_sorts_no_names_until_it_is_told_again() -> None:
-    follower = common.Common("a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Registers("a", 1), seed=1)
-    follower.handle(0.0, common.There(CountedNames("abcdefgh")))
-    follower.handle(0.0, common.Told(Plan(1), 0.0))
+def test_an_old_plan_sorts_no_names_between_its_gossip_rounds() -> None:
+    follower = agreement.PlanAgreement(
+        "a", ("m",), Planner({"z": "r"}), Evidence(("z",)), Proposer("a", 1), seed=1
+    )
+    follower.handle(0.0, agreement.MembershipChanged(CountedNames("abcdefgh")))
+    follower.handle(0.0, agreement.PlanReceived(Plan(1), 0.0))
     for _ in range(100):
-        follower.handle(0.0, common.TellDue())
+        follower.handle(0.0, agreement.GossipDue())
     CountedNames.others = 0
-    told = [
+    sent = [
         action
         for _ in range(20)
-        for action in follower.handle(0.0, common.TellDue())
-        if isinstance(action, common.Tell)
+        for action in follower.handle(0.0, agreement.GossipDue())
+        if isinstance(action, agreement.SendPlan)
     ]
-    assert CountedNames.others == 2 and len(told) == 2 * common.TELL_TO
+    assert CountedNames.others == 2 and len(sent) == 2 * agreement.GOSSIP_FANOUT
 
 
 class CountedEvidence(Evidence):
-    """Counts judgements."""
+    """Counts assessments."""
 
-    judged = 0
+    assessed = 0
 
-    def judge(self, now: float) -> dict[str, Judgement]:
-        CountedEvidence.judged += 1
-        return super().judge(now)
+    def assess(self, now: float) -> dict[str, ZoneAssessment]:
+        CountedEvidence.assessed += 1
+        return super().assess(now)
 
 
-@pytest.mark.parametrize(("name", "judged"), [("m1", 1), ("m2", 0)])
-def test_only_the_maker_that_proposes_judges(name: str, judged: int) -> None:
+@pytest.mark.parametrize(("name", "assessed"), [("m1", 1), ("m2", 0)])
+def test_only_the_planner_that_proposes_assesses_zones(name: str, assessed: int) -> None:
     evidence = CountedEvidence(("z",))
-    maker = common.Common(name, ("m1", "m2"), Planner({"z": "r"}), evidence, Registers(name, 1), seed=1)
-    maker.handle(0.0, common.There(frozenset({"m1", "m2"})))
-    CountedEvidence.judged = 0
-    maker.handle(0.0, common.Due())
-    assert CountedEvidence.judged == judged
+    planner = agreement.PlanAgreement(
+        name, ("m1", "m2"), Planner({"z": "r"}), evidence, Proposer(name, 1), seed=1
+    )
+    planner.handle(0.0, agreement.MembershipChanged(frozenset({"m1", "m2"})))
+    CountedEvidence.assessed = 0
+    planner.handle(0.0, agreement.PlanningDue())
+    assert CountedEvidence.assessed == assessed
 
 
-# ---- What is unsent ---------------------------------------------------------------------------------------
-def test_a_director_that_serves_does_not_sum_what_is_unsent(monkeypatch: pytest.MonkeyPatch) -> None:
+# ---- Pending work -----------------------------------------------------------------------------------------
+def test_a_director_that_serves_does_not_sum_its_pending_work(monkeypatch: pytest.MonkeyPatch) -> None:
     loop = asyncio.new_event_loop()
     summed = 0
-    owed = PlatformDirector._owed
+    pending_work = PlatformDirector._pending_work
 
     def counted(director: PlatformDirector) -> Any:
         nonlocal summed
         summed += 1
-        return owed(director)
+        return pending_work(director)
 
-    monkeypatch.setattr(PlatformDirector, "_owed", counted)
+    monkeypatch.setattr(PlatformDirector, "_pending_work", counted)
     try:
         director = PlatformDirector(settings.read(platform_world.config([])), "", loop)
         director._tick()
         assert summed == 0
         director.stop()
-        assert director._stop.state is StopState.STAYING
+        assert director._stop.state is StopState.DRAINING
         director._tick()
         assert summed == 1
     finally:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -337,8 +337,8 @@
         assert (await world.manifest(token)).status == 410
         assert (await world.manifest(token)).status == 410
         assert world.set_ups("a") == 1
-        assert world.director.core.sessions == {} and world.director.core.attempts.live == 0
-        assert all(claim.place is None for claim in world.director.core.claims._by_token.values())
+        assert world.director.core.sessions == {} and world.director.core.attempts.live_count == 0
+        assert all(entry.location is None for entry in world.director.core.token_sessions._by_token.values())
 
     edit = (
         "(boxes (lost-after-ms 400) => (boxes (lost-after-ms 400) (park-s 1)" if cause == "too late" else ""
