--- a/foxlift/boxes/takeover.py
+++ b/foxlift/boxes/takeover.py
@@ -93,8 +93,7 @@
 
 
 class SessionNote(msgspec.Struct, frozen=True, array_like=True):
-    """What a director stores at the box for the director that takes the session over: the rest of its
-    token."""
+    """Rest of a session's token, stored at the box for the director that takes the session over."""
 
     viewer: str
     expires: int
--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -60,7 +60,7 @@
 OUTCOME_OF_END = {
     "done": fl.Outcome.OK,
     "left": fl.Outcome.CANCELLED,
-    "parked": fl.Outcome.OK,  # to the module a session that is over: its place is free
+    "parked": fl.Outcome.OK,  # for the module the session has ended: its place is free
     "moved": fl.Outcome.CANCELLED,
     "lost": fl.Outcome.RESET,
 }
@@ -87,9 +87,8 @@
         self.watch = ListWatch(cached, config.box_list.retry_ms, config.seed)
         self.links: dict[int, ln.Link] = {}
         self._contacts: dict[int, tuple[Contact, float]] = {}  # the last contact with each box, and when
-        self._delivered_shares: dict[
-            int, tuple[float, float]
-        ] = {}  # share that each box reported as delivered, and when
+        # the share that each box last reported as delivered, and when
+        self._delivered_shares: dict[int, tuple[float, float]] = {}
         self._link_uses: dict[int, float] = {}  # link use, as each box last reported it
         self._silent: dict[int, float] = {}  # boxes whose notices are lost, since when on the module's clock
         self.boxes: dict[int, BoxEntry] = {}
@@ -99,9 +98,8 @@
         self._tenants = {tenant.name: k for k, tenant in enumerate(self.settings.tenants)}
         self._zones = {name: k for k, name in enumerate(config.fleet.zones)}
         self._kinds = {name: k for k, name in enumerate(config.fleet.kinds)}
-        self._requests: dict[
-            int, ev.ManifestRequested
-        ] = {}  # by request, only within the call that opens a session
+        # by request, only within the call that opens a session
+        self._requests: dict[int, ev.ManifestRequested] = {}
         self._now = 0.0
         self._actions: list[ev.Action] = []
 
@@ -124,7 +122,7 @@
             case ev.ManifestRequested():
                 self._manifest_requested(event)
             case ev.ClientDisconnected(request):
-                self._claim(ts.ClientDisconnected(request))
+                self._token_session(ts.ClientDisconnected(request))
             case ev.NoticeReceived(node, notice):
                 self._notice(node, notice)
             case ev.ParkedSessionMissing(number):
@@ -137,7 +135,7 @@
                 self._notify_module(fl.Wake(token))
             case ev.IntentRecovered(known):
                 played = known.outcome in (IntentOutcome.STARTED, IntentOutcome.ENDED)
-                self._claim(ts.Restored(known.token, known.expires, played))
+                self._token_session(ts.Restored(known.token, known.expires, played))
                 # the process may have died after the box's response and before the ledger recorded it
                 expiry_ms = int(known.expires * 1000)
                 ran = lg.Ran(
@@ -243,10 +241,10 @@
         token = event.token
         paid = self.settings.classes[self._classes[token.klass]].repeat is not fl.Repeat.FREE
         self._requests[event.request] = event
-        self._claim(ts.Requested(event.request, token.id, paid, token.expires, event.expired))
+        self._token_session(ts.Requested(event.request, token.id, paid, token.expires, event.expired))
         self._requests.pop(event.request, None)
 
-    def _claim(self, event: ts.Event) -> None:
+    def _token_session(self, event: ts.Event) -> None:
         for action in self.token_sessions.handle(self._now / 1000, event):
             match action:
                 case ts.OpenSession(session, request, place):
@@ -320,7 +318,7 @@
         session = self.sessions.get(number)
         if session is None:
             return
-        self._claim(ts.ParkedSetUpGone(number))
+        self._token_session(ts.ParkedSetUpGone(number))
         self._notify_module(fl.Withdrawn(number))
         if self.attempts.has_attempt(number):
             session.withdrawn = True  # its attempt ends with the box's response
@@ -418,13 +416,13 @@
         attempt = self.attempts.attempt_of(set_up)
         if attempt is None or not self.attempts.is_known(set_up):
             self._actions.append(ev.DropOwnership(set_up))
-            self._claim(ts.ParkedTakenOver(set_up))
+            self._token_session(ts.ParkedTakenOver(set_up))
             return
         session = self.sessions.get(attempt[0])
         if session is not None and 0 < ended_ms < session.owned_since_ms:
             return  # about an earlier period in which this director owned it
         self._actions.append(ev.DropOwnership(set_up))
-        self._claim(ts.OwnedElsewhere(attempt[0]))
+        self._token_session(ts.OwnedElsewhere(attempt[0]))
         self._attempt(at.EndedAtBox(*attempt, fl.Outcome.CANCELLED, ended_ms))
 
     # ---- The module ---------------------------------------------------------------------------------------
@@ -447,7 +445,7 @@
                 self._refuse(number, come_back_ms)
             case fl.Fail(number):
                 self._count_rejected(number, "failed")
-                self._claim(ts.Failed(number))
+                self._token_session(ts.Failed(number))
                 self._forget(number)
             case fl.SetTimer(delay_ms, token):
                 self._actions.append(ev.StartTimer(delay_ms, ev.ModuleTimerDue(token)))
@@ -500,7 +498,7 @@
         self.sessions.pop(session.number, None)
         session.closed = True
         self._actions.append(ev.SessionClosed(session))
-        self._claim(ts.SessionEnded(session.number, ran))
+        self._token_session(ts.SessionEnded(session.number, ran))
 
     # ---- Attempts -----------------------------------------------------------------------------------------
     def rate_kb(self, session: ev.Session, rung: int) -> float:
@@ -566,7 +564,7 @@
             ):
                 if value is not None:
                     self._notify_module(fl.Note(event.session, event.node, kind, value))
-        self._claim(ts.SessionStarted(event.session))
+        self._token_session(ts.SessionStarted(event.session))
 
     def _opened(self, session: ev.Session, started_ms: int, set_up: str) -> lg.Started:
         token = session.token
@@ -617,7 +615,7 @@
             session.closed = True
             self._actions.append(ev.SessionClosed(session))
             until = self._now / 1000 + self.config.boxes.park_s
-            self._claim(
+            self._token_session(
                 ts.Parked(session.number, until, ts.ParkedLocation(event.node, set_up, session.path_token))
             )
         elif final:
@@ -643,8 +641,10 @@
         self._link(node, ln.StreamNeeded())
 
     def _release_link(self, node: int) -> None:
-        """Close the stream of a box without sessions, but only if the box is no longer listed: the next
-        session may come soon."""
+        """Close the stream of a box that has no sessions and is no longer listed.
+
+        While the box is listed its stream stays open: the next session may come soon.
+        """
         if node not in self.boxes and node in self.links and not self.attempts.count_at(node):
             self._link(node, ln.StreamUnneeded())
             del self.links[node]
--- a/foxlift/director/ownership.py
+++ b/foxlift/director/ownership.py
@@ -27,8 +27,7 @@
         """The note that the server stores for the director that takes this session over."""
 
     def is_refused(self, result: Response | Failure, set_up: str = "", node: int | None = None) -> bool:
-        """Whether a server refused a command because another director owns the session; acts on the
-        refusal."""
+        """Whether a server refused because another director owns the session; acts on the refusal."""
 
     def may_stream(self, node: int) -> bool:
         """Whether a notice stream of the server would name all of this director's sessions."""
--- a/foxlift/http/named_pools.py
+++ b/foxlift/http/named_pools.py
@@ -45,8 +45,7 @@
         decode: Callable[[bytes], T],
         done: Callable[[T | None], None],
     ) -> None:
-        """POST to a server. `done(None)`: the status is not 200, or `decode` raised MsgspecError for the
-        body."""
+        """POST to a server. `done(None)`: the status is not 200, or `decode` raised MsgspecError."""
 
         def finished(result: Response | Failure) -> None:
             answer: T | None = None
--- a/foxlift/http/server.py
+++ b/foxlift/http/server.py
@@ -406,9 +406,8 @@
         elif self.state is _State.IDLE and not self.exchanges:
             self._close()
         elif self.state is _State.IDLE:
-            self._set_deadline(
-                self.server.limits.idle_time_ms
-            )  # a response is pending: its own deadline limits it
+            # a response is pending: its own deadline limits it
+            self._set_deadline(self.server.limits.idle_time_ms)
         else:
             self._reject(408, "request not complete in time")
 
--- a/foxlift/store/files.py
+++ b/foxlift/store/files.py
@@ -52,13 +52,11 @@
         """Remove a file if it exists."""
 
     def lock(self) -> None:
-        """Lock the folder until this port is closed or its process ends. Raises OSError if it is locked
-        already."""
+        """Lock the folder until this port is closed or its process ends. Raises OSError if it is locked."""
 
 
 class DiskFiles:
-    """Files of one folder on a real disk. Asynchronous writes run on one thread, in the order of their
-    calls."""
+    """Files of one folder on a real disk. Asynchronous writes run on one thread, in call order."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop) -> None:
         folder.mkdir(parents=True, exist_ok=True)
--- a/foxlift/store/intents.py
+++ b/foxlift/store/intents.py
@@ -32,8 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """A paid set-up that is about to be sent. `expires`: when its token can no longer start a session, Unix
-    s."""
+    """A paid set-up that is about to be sent. `expires`: from when its token starts nothing (Unix s)."""
 
     token: str
     expires: int
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -184,8 +184,7 @@
 
 @pytest.mark.parametrize("disk_error", [errno.EIO, errno.ENOSPC, errno.EROFS])
 def test_no_paid_set_up_is_sent_without_its_durable_intent(tmp_path: Path, disk_error: int) -> None:
-    """The disk fails, is full or is mounted read-only: free viewers are served, and counters show the
-    error."""
+    """The disk fails, is full or is mounted read-only: free viewers are served, counters show the error."""
     files = MemoryFiles()
 
     async def test(world: World) -> None:
