--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -53,7 +53,7 @@
             done(TakeoverFailure.SILENT)
 
     def _refusal_of(self, result: Response | Failure, epoch: int) -> TakeoverFailure:
-        """Why the takeover failed. Where a server has fenced this director off, a new epoch begins."""
+        """RejectionReason the takeover failed. Where a server has fenced this director off, a new epoch begins."""
         if not isinstance(result, Response) or result.status != CONFLICT:
             return TakeoverFailure.SILENT
         if result.header("foxlift-refusal") == "alive":
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foxlift.consensus.messages import Accept, Ballot, Prepare, Promise, Reject
+from foxlift.consensus.messages import Accept, Accepted, Ballot, Prepare, Promise, Reject
 from foxlift.rollout import acceptor, agent, hub, watcher
 from foxlift.rollout.acceptor import Acceptor, register_key, register_version
 from foxlift.rollout.agent import Agent, Problem
