--- a/foxlift/consensus/rendezvous.py
+++ b/foxlift/consensus/rendezvous.py
@@ -18,8 +18,7 @@
 
 
 def is_first(key: str, name: str, names: Iterable[str]) -> bool:
-    """Whether `name` has the highest rank for the key among `name` and `names`, as `replicas_of(..., 1)`
-    gives.
+    """Whether `replicas_of` chooses `name` first for the key, among `name` and `names`.
 
     Stops at the first name with a higher rank: about 1 + ln(names) ranks for a random name, where a full sort
     computes one for each name.
--- a/foxlift/director/cluster/client.py
+++ b/foxlift/director/cluster/client.py
@@ -1,4 +1,4 @@
-"""Requests to peers: connection pools, one request and answer at a time, in JSON."""
+"""Requests to peers: connection pools, one request and response at a time, in JSON."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 MAX_CONNECTIONS = 8  # to one peer
 MAX_FORWARDING_CONNECTIONS = 32  # to one peer, for viewers' requests
-MAX_ANSWER_BYTES = 4 << 20
+MAX_RESPONSE_BYTES = 4 << 20
 NOTIFY_TIMEOUT_MS = 1000.0
 
 
 class PeerClient:
-    """Connections to the peers of the settings.
+    """Connection pools to the peers of the settings.
 
-    Viewers' requests have connections of their own: they must not wait behind probes, nor probes behind them.
+    Viewers' requests have connections of their own, so that they and probes do not wait for one another.
     """
 
     def __init__(self, context: ClusterContext) -> None:
@@ -39,22 +39,22 @@
         decode: Callable[[bytes], T],
         done: Callable[[T | None], None],
     ) -> None:
-        """Ask a peer. `done(None)`: no answer, or none that `decode` can read (it raises MsgspecError)."""
+        """Send a request. `done(None)`: no response, or `decode` cannot read it (raises MsgspecError)."""
 
         def finished(result: Answer | Failure) -> None:
-            answer: T | None = None
+            response: T | None = None
             if isinstance(result, Answer) and result.status == 200:
                 try:
-                    answer = decode(result.body)
+                    response = decode(result.body)
                 except msgspec.MsgspecError:
                     self._context.counters.add("peers not readable")
             if not self._context.closed:
-                done(answer)
+                done(response)
 
         self._pool(to).call("POST", path, finished, headers=JSON_HEADERS, body=body, timeout_ms=timeout_ms)
 
     def notify(self, to: str, path: str, body: bytes) -> None:
-        """Send a message that a later one repeats: whether it arrives does not matter."""
+        """Send a message that is repeated later, so that its loss does not matter."""
         if to not in self._context.addresses or self._context.closed:
             return
         self._pool(to).call(
@@ -85,5 +85,5 @@
 
     def _new_pool(self, to: str, max_connections: int) -> Pool:
         url = self._context.addresses[to]
-        limits = PoolLimits(max_connections=max_connections, max_answer_bytes=MAX_ANSWER_BYTES)
+        limits = PoolLimits(max_connections=max_connections, max_answer_bytes=MAX_RESPONSE_BYTES)
         return Pool(self._context.loop, url.hostname or "127.0.0.1", url.port or 80, limits)
--- a/foxlift/director/cluster/context.py
+++ b/foxlift/director/cluster/context.py
@@ -16,7 +16,7 @@
 
 
 class ClusterContext:
-    """Settings, clock, counters and the disk's record of registers and boot epochs."""
+    """Settings, clock, counters, and the store of registers and boot epochs."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
 
     @property
     def boot_epoch(self) -> int:
-        """This director's present one: above any earlier one, renewed when a box has fenced it off."""
+        """The present boot epoch: higher than any earlier one, renewed when a box has fenced it off."""
         return self.store.boot_epoch
 
     def now(self) -> float:
@@ -46,10 +46,10 @@
         return self.timeline.now()
 
     def later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call back after a delay, unless the service is closed by then."""
+        """Call back after a delay, unless the service has been closed by then."""
         self.timeline.later(delay_ms, lambda: None if self.closed else callback())
 
     def next_number(self) -> int:
-        """A number that this process has not given to an operation before."""
+        """A number that is unique in this process."""
         self._last_number += 1
         return self._last_number
--- a/foxlift/director/cluster/disk_trust.py
+++ b/foxlift/director/cluster/disk_trust.py
@@ -1,4 +1,4 @@
-"""Whether this director's disk is the one of its last boot epoch: asked of its peers at the start.
+"""Asks the peers at start whether this director's disk is the one of its last boot epoch.
 
 Carries the messages of `foxlift.recovery.disk_check`, in both directions.
 """
@@ -12,17 +12,17 @@
 
 from foxlift.director.cluster.client import PeerClient
 from foxlift.director.cluster.context import ClusterContext
-from foxlift.director.cluster.messages import JSON_HEADERS, Hello, HelloAnswer
+from foxlift.director.cluster.messages import JSON_HEADERS, Hello, HelloResponse
 from foxlift.director.cluster.server import PeerServer
 from foxlift.http import Exchange
 from foxlift.recovery import disk_check
 
 HELLO_TIMEOUT_MS = 1000.0
-_decode_answer = msgspec.json.Decoder(HelloAnswer).decode
+_decode_answer = msgspec.json.Decoder(HelloResponse).decode
 
 
 class DiskTrust:
-    """Asks the peers, and answers when they ask. `on_trusted(disk_lost)` is called once."""
+    """Asks the peers at start, and responds to theirs. `on_trusted(disk_lost)` is called once."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._disk_check = disk_check.DiskCheck(
             context.addresses, context.store.last_boot_epoch, config.seed, config.peers.trust_disk
         )
-        self.last_epoch_told = 0  # the latest of this director's earlier epochs that a peer has told of
+        self.last_reported_epoch = 0  # the latest of this director's earlier epochs that a peer has reported
         server.add_handler("/peers/hello", self._receive)
 
     @property
     def trusted(self) -> bool:
-        """Whether the verdict is there."""
+        """Whether the check has ended."""
         return self._disk_check.trusted
 
     def start(self) -> None:
@@ -62,10 +62,10 @@
                     self._on_trusted(lost)
 
     def _say_hello(self, peer: str) -> None:
-        def answered(answer: HelloAnswer | None) -> None:
-            if answer is not None and answer.sender == peer:
-                self.last_epoch_told = max(self.last_epoch_told, answer.before)
-                self._handle(disk_check.EpochReported(peer, answer.before))
+        def answered(response: HelloResponse | None) -> None:
+            if response is not None and response.sender == peer:
+                self.last_reported_epoch = max(self.last_reported_epoch, response.before)
+                self._handle(disk_check.EpochReported(peer, response.before))
 
         body = msgspec.json.encode(Hello(self._context.name, self._context.boot_epoch))
         self._client.request(peer, "/peers/hello", body, HELLO_TIMEOUT_MS, _decode_answer, answered)
@@ -80,7 +80,7 @@
             if before is None:
                 self._server.refuse(exchange, 503, "the disk has failed")
             elif not exchange.gone:
-                answer = HelloAnswer(self._context.name, self._context.boot_epoch, before)
-                exchange.reply(200, JSON_HEADERS, msgspec.json.encode(answer))
+                response = HelloResponse(self._context.name, self._context.boot_epoch, before)
+                exchange.reply(200, JSON_HEADERS, msgspec.json.encode(response))
 
-        self._context.store.record_epoch(hello.sender, hello.run, stored)
+        self._context.store.record_epoch(hello.sender, hello.boot_epoch, stored)
--- a/foxlift/director/cluster/epoch_renewal.py
+++ b/foxlift/director/cluster/epoch_renewal.py
@@ -1,4 +1,4 @@
-"""Another boot epoch of a running process, begun when a server has fenced the present one off."""
+"""Begins another boot epoch in a running process when a server has fenced the present one off."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EpochRenewal:
-    """Begins new epochs, one at a time; `on_renewed` is called once the new one is on the disk."""
+    """Begins new epochs, one at a time. `on_renewed` is called once the new one is on the disk."""
 
     def __init__(self, context: ClusterContext, on_renewed: Callable[[], None]) -> None:
         self._context, self._on_renewed = context, on_renewed
@@ -21,7 +21,7 @@
         self._last_at = -1e18
 
     def renew(self, refusal: Answer | Failure | None = None, above: int = 0) -> None:
-        """Begin an epoch above `above` and above the fence that a server's refusal names."""
+        """Begin an epoch higher than `above` and than the fence that a server's refusal names."""
         above = max(above, _fence_of(refusal))
         now = self._context.now()
         if self._in_progress or self._context.closed or now - self._last_at < MIN_INTERVAL_MS:
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -1,6 +1,6 @@
-"""Which director answers a request whose session another one has: forwarded, asked at its server, or told.
+"""Forwards requests whose session another director owns, or asks the session's box.
 
-The rules are those of `foxlift.recovery.route`; here they are carried out.
+Carries out the rules of `foxlift.recovery.route`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class RequestForwarder:
-    """One director's requests that are looked for elsewhere."""
+    """One director's requests whose session may belong to another director."""
 
     def __init__(
         self,
@@ -64,16 +64,16 @@
         self._boxes = boxes
 
     def come_back_ms(self) -> float:
-        """After how long a viewer is to come back whom nobody can answer now; drawn anew each time."""
+        """How long a viewer waits where nobody can answer now; random for each."""
         return self._routes.come_back_ms()
 
     # ---- Requests -----------------------------------------------------------------------------------------
     def resolve(self, request: int, claim: Claim | None, hint: bool = False, forwarded: bool = False) -> None:
-        """Find out who answers this request."""
+        """Find out which director answers this request."""
         self._handle(route.RouteRequested(request, claim, hint, forwarded))
 
     def resolve_own(self, request: int, token: str, expires: int, forwarded: bool) -> None:
-        """A request whose token's set-up here may have run: is it still this director's to say so?"""
+        """A request whose token may have been set up here: ask its register for the present owner."""
 
         def tell(verdict: RouteOutcome) -> None:
             self._tell(route.Resolved(request, verdict, self.come_back_ms()))
@@ -87,14 +87,14 @@
             self._host.turn_down(request, Why.FAILED, 0.0)
 
     def forward_to_any(self, request: int, token: str) -> bool:
-        """Have another director answer a request that this one, which is stopping, takes no more."""
+        """Have another director answer a request, as this one is stopping."""
         others = [name for name in self._membership.alive() if name != self._context.name]
         if not others:
             return False
         return self._forward(request, replicas_of(token, others, 1)[0])
 
     def viewer_left(self, request: int) -> None:
-        """Its viewer has left."""
+        """The request's viewer has closed the connection."""
         self._handle(route.ViewerLeft(request))
 
     # ---- Hints --------------------------------------------------------------------------------------------
@@ -107,7 +107,7 @@
         """For the manifest of a session that this director has."""
         return f"{self._context.name}/{self._context.boot_epoch}/{box}/{set_up}"
 
-    # ---- What the routes say ------------------------------------------------------------------------------
+    # ---- Actions of the routes ----------------------------------------------------------------------------
     def _handle(self, event: route.Event) -> None:
         for action in self._routes.handle(event):
             match action:
--- a/foxlift/director/cluster/host.py
+++ b/foxlift/director/cluster/host.py
@@ -1,4 +1,4 @@
-"""What a director does for its cluster service: calls to boxes, requests held, sessions handed over."""
+"""What a director does for its cluster service: requests to boxes, pending requests, adopted sessions."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 from foxlift.tokens import SessionToken
 from foxlift.zones.evidence import ZoneObservation
 
-UNKNOWN_BOOT = "-"  # no box process is called so: a set-up for it is refused, and the refusal tells the name
-MAX_ROUTINGS = 4  # times that one request is looked for elsewhere
+UNKNOWN_BOOT = "-"  # no box process has this name: the set-up is refused, the refusal names the process
+MAX_ROUTINGS = 4  # times that one request may be routed
 TAKEOVER_TIMEOUT_MS = 2000.0
 RELAYED_HEADERS = (
     "content-type",
@@ -54,7 +54,7 @@
 
 
 class Director(Protocol):
-    """What the host uses of its director; all is there once it starts."""
+    """What the host uses of its director. All parts exist once it starts."""
 
     @property
     def config(self) -> DirectorConfig:
@@ -102,41 +102,41 @@
 
     @property
     def core(self) -> Core:
-        """The director without I/O."""
+        """The director's decisions, without I/O."""
 
     @property
     def answers(self) -> Answers:
-        """Requests that wait for an answer."""
+        """Requests that wait for a response."""
 
     def feed(self, event: events.Event) -> None:
-        """Have the core handle an event and carry out what it says."""
+        """Have the core handle an event, and carry out its actions."""
 
     def ask_core(self, number: int) -> None:
-        """Have the core answer a request that is held."""
+        """Have the core answer a pending request."""
 
     def asked(self, exchange: Exchange, passed: bool = False) -> None:
-        """Take in a request; `passed`: from another director."""
+        """Handle a new request; `passed`: forwarded by another director."""
 
     def superseded(self) -> None:
-        """Another process has this director's name: do nothing more."""
+        """Another process has this director's name: stop acting."""
 
 
 class ClusterHost:
-    """One daemon's. Made only where the settings name peers."""
+    """One daemon's host. Only exists where the settings name peers."""
 
     def __init__(self, daemon: Director) -> None:
         self.daemon = daemon
-        self._boots: dict[int, str] = {}  # by box: its process, as it was heard of last
+        self._boots: dict[int, str] = {}  # by box: its process, as last reported
         self.service = ClusterService(
             daemon.config, daemon.loop, daemon.timeline, daemon.files, daemon.counters, self
         )
 
     def start_ledger(self) -> None:
-        """What an earlier run left open may still play: its end is estimated only once no box can hold it."""
+        """Sessions of an earlier process may still play: their end is estimated once no box can hold them."""
         daemon = self.daemon
-        daemon.timeline.later(daemon.config.peers.grace_ms + 2 * TAKEOVER_TIMEOUT_MS, self._close_left)
+        daemon.timeline.later(daemon.config.peers.grace_ms + 2 * TAKEOVER_TIMEOUT_MS, self._close_orphaned)
 
-    def _close_left(self) -> None:
+    def _close_orphaned(self) -> None:
         closed = self.daemon.journal.close_left()
         if closed:
             self.daemon.log.info("ended unseen", sessions=closed)
@@ -177,7 +177,7 @@
         return ForwardableRequest(held.wanted.token.id, target, headers, self.waited_ms(request))
 
     def waited_ms(self, number: int) -> float:
-        """Since the request's first byte here, and before it was passed on."""
+        """Time since the request's first byte here, plus the time before it was forwarded."""
         held = self.daemon.answers.held.get(number)
         if held is None:
             return 0.0
@@ -187,7 +187,7 @@
         return max(waited, 0.0) + (float(before) if before.isdigit() and len(before) < 8 else 0.0)
 
     def asked(self, number: int, passed: bool) -> bool:
-        """Whether the request's own hint has it looked for elsewhere first."""
+        """Whether the request's own hint names another owner, where it is routed to first."""
         held = self.daemon.answers.held[number]
         hinted = self.service.forwarder.read_hint(held.wanted.hint) if held.wanted.hint else None
         if hinted is None or not self.daemon.core.claims.is_new(held.wanted.token.id):
@@ -198,13 +198,13 @@
         return True
 
     def route(self, number: int, claim: Claim | None) -> None:
-        """A request whose token is claimed elsewhere."""
-        held = self._routed(number)
+        """A request whose token another director or epoch has claimed."""
+        held = self._next_routing(number)
         if held is not None:
             self.service.forwarder.resolve(number, claim, forwarded=held.passed)
 
-    def _routed(self, number: int) -> Held | None:
-        """A request that is to be looked for elsewhere once more; not for ever."""
+    def _next_routing(self, number: int) -> Held | None:
+        """The pending request, if it may be routed once more; at most MAX_ROUTINGS times."""
         held = self.daemon.answers.held.get(number)
         if held is None:
             return None
@@ -215,13 +215,13 @@
         return held
 
     def come_back_ms(self) -> float:
-        """When a viewer is to come back whom nobody can answer now; told apart."""
+        """How long a viewer waits where nobody can answer now; random for each."""
         return self.service.forwarder.come_back_ms()
 
     def carry_out(
         self, action: events.PassOn | events.AskAbout | events.FetchTaken | events.SetUpLost | events.Listed
     ) -> None:
-        """What the core wants done between directors."""
+        """Carry out the core's actions between directors."""
         match action:
             case events.PassOn(request, claim):
                 self.route(request, claim)
@@ -235,10 +235,10 @@
                 self.service.boxes_listed(boxes)
 
     def ask_about(self, number: int, token: str) -> None:
-        """A request whose token an earlier run had: its box knows more than the record."""
+        """A request whose token an earlier boot epoch had: ask its box, which knows more than the record."""
         known = self.daemon.book.known.get(token)
         parts = known.set_up.rsplit("-", 2)[0].rpartition(".")[2] if known is not None else ""
-        held = self._routed(number)
+        held = self._next_routing(number)
         if held is None:
             return
         if self.daemon.core.claims.is_new(token):
@@ -277,7 +277,7 @@
             return False
         boot = result.header(BOOT)
         if node is not None and boot:
-            self.boot_heard(node, boot)
+            self.boot_reported(node, boot)
         refusal = result.header("foxlift-refusal")
         if refusal == "fenced":
             self.service.renew_epoch(result)
@@ -285,7 +285,7 @@
             return False
         owner = (result.header("foxlift-owner") or "").partition("/")[0]
         if owner == self.daemon.config.name:
-            return False  # of an earlier run of this very director: being taken over
+            return False  # of an earlier epoch of this director: its takeover is in progress
         if set_up:
             self.daemon.feed(events.NotOwner(set_up))
         return True
@@ -303,34 +303,34 @@
         if isinstance(notice, TakenThere):
             self.service.renew_epoch()
         elif isinstance(notice, Hello):
-            self.boot_heard(node, notice.boot)
+            self.boot_reported(node, notice.boot)
 
     # ---- Boxes --------------------------------------------------------------------------------------------
     def boot_of(self, keep: events.KeepIntent) -> str:
-        """See `Host`; it is written into the set-up's claim and sent with it."""
+        """See `Host`. The result is part of the set-up's claim, and is sent with it."""
         boot = self._boots.get(keep.node, UNKNOWN_BOOT)
         session = self.daemon.core.sessions.get(keep.session)
         if session is not None:
             session.boot = boot
         return boot
 
-    def boot_heard(self, node: int, boot: str) -> None:
-        """A box says which process it is."""
+    def boot_reported(self, node: int, boot: str) -> None:
+        """A box reports which process it is."""
         self._boots[node] = boot
         if len(self._boots) > 2 * len(self.daemon.core.boxes) + 64:
             self._boots = {n: b for n, b in self._boots.items() if n in self.daemon.core.boxes or n == node}
 
     def node(self, box: str) -> int | None:
-        """The number of a box that the list names."""
+        """The number of a box, None if the box list does not name it."""
         return next((node for node, entry in self.daemon.core.boxes.items() if entry.name == box), None)
 
     def box(self, node: int) -> str:
-        """The name of a box, "" where the list does not name it."""
+        """The name of a box, "" if the box list does not name it."""
         entry = self.daemon.core.boxes.get(node)
         return "" if entry is None else entry.name
 
     def hint(self, session: events.Session) -> str:
-        """For the manifest's way to be loaded again."""
+        """The hint for the manifest's reload URL."""
         return self.service.forwarder.write_hint(
             self.box(session.node) or "-", self.daemon.core.set_up_of(session)
         )
@@ -356,7 +356,7 @@
         daemon, node = self.daemon, self.node(box)
         if node is None:
             return
-        self.boot_heard(node, answer.boot)
+        self.boot_reported(node, answer.boot)
         for gone in answer.gone:
             notice = TakenThere((gone.set_up,), gone.by, gone.at) if gone.by else None
             daemon.feed(events.Notice(node, notice or EndedThere(gone.set_up, "done", gone.at)))
@@ -379,7 +379,7 @@
         daemon, note = self.daemon, read_note(held.note)
         title = daemon.catalogue.titles.get(held.title)
         if note is None or title is None or not daemon.core.knows_class(held.klass):
-            # it plays on at its box until its viewer has had it; nobody can steer what cannot be read
+            # it plays on at its box to its end, but cannot be steered
             daemon.counters.add("not adopted")
             daemon.log.warning("a session cannot be adopted", box=box, title_known=title is not None)
             return None
--- a/foxlift/director/cluster/membership.py
+++ b/foxlift/director/cluster/membership.py
@@ -1,4 +1,4 @@
-"""Which peers are alive: carries the probes of `foxlift.peers.view` (SWIM) over the peers' listener."""
+"""Which peers are alive: carries the messages of `foxlift.peers.view` (SWIM) over the peers' listener."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class MembershipListener(Protocol):
-    """Who is told of peers."""
+    """What is notified of peers."""
 
-    def peer_heard(self, name: str) -> None:
-        """A message of this peer has come."""
+    def peer_contacted(self, name: str) -> None:
+        """A message of this peer has arrived."""
 
     def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
-        """What is believed of a peer has changed."""
+        """The belief about a peer has changed."""
 
     def superseded_by(self, epoch: int) -> None:
-        """A later boot epoch of this very director is known to a peer."""
+        """A peer knows a later boot epoch of this director."""
 
 
 class Membership:
@@ -42,7 +42,7 @@
         self.view = view.Peers(
             context.name, context.boot_epoch, context.members, config.seed, config.peers.period_ms
         )
-        self._probes: dict[int, Exchange] = {}  # peers' probes that wait for an answer
+        self._probes: dict[int, Exchange] = {}  # peers' probes that wait for a response
         server.add_handler("/peers/view", self._receive)
 
     def start(self) -> None:
@@ -50,23 +50,23 @@
         self._carry_out(self.view.start())
 
     def leave(self) -> None:
-        """Tell the peers that this director stops in order."""
+        """Announce to the peers that this director stops."""
         self._handle(view.Leave())
 
     def renew(self) -> None:
-        """Go on in the present boot epoch."""
+        """Continue in the present boot epoch."""
         self._handle(view.Renew(self._context.boot_epoch))
 
     def alive(self) -> list[str]:
-        """Names of those that are believed to be there, this director first."""
+        """Names of the alive and suspected directors, this one first."""
         return self.view.reachable()
 
     def is_reachable(self, name: str) -> bool:
-        """Whether a peer is believed to be there."""
+        """Whether a peer is alive or suspected."""
         return self.view.state(name) in (PeerState.ALIVE, PeerState.SUSPECTED)
 
     def epoch_of(self, name: str) -> int:
-        """The latest boot epoch known of a peer, 0 for none."""
+        """The latest known boot epoch of a peer, 0 for none."""
         peer = self.view.peers.get(name)
         return 0 if peer is None else peer.boot_epoch
 
@@ -94,7 +94,7 @@
                 self._handle(view.RequestFailed(send.request_id))
                 return
             if answer.sender == send.to:
-                self._listener.peer_heard(send.to)
+                self._listener.peer_contacted(send.to)
             self._handle(view.ResponseReceived(send.request_id, answer))
 
         body = messages.encode(send.message)
@@ -104,7 +104,7 @@
         message = messages.read_request(exchange.request.body)
         if not self._server.admits(exchange, message.sender, message.boot_epoch):
             return
-        self._listener.peer_heard(message.sender)
+        self._listener.peer_contacted(message.sender)
         number = self._context.next_number()
         self._probes[number] = exchange
         exchange.on_gone = partial(self._forget, number)
--- a/foxlift/director/cluster/messages.py
+++ b/foxlift/director/cluster/messages.py
@@ -16,7 +16,7 @@
 
 JSON_HEADERS: Headers = (("content-type", "application/json"),)
 FORWARDED_BY_HEADER = "foxlift-passed"  # of a forwarded request: the forwarding director's name/epoch
-WAITED_HEADER = "foxlift-waited-ms"  # of a forwarded request: how long its viewer had waited by then
+WAITED_HEADER = "foxlift-waited-ms"  # of a forwarded request: how long its viewer had waited before
 
 PeerName = Annotated[str, Meta(min_length=1, max_length=100)]
 BootEpoch = Annotated[int, Meta(ge=0, lt=2**53)]
@@ -26,14 +26,14 @@
     """A director has started in a new boot epoch."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
 
 
-class HelloAnswer(msgspec.Struct, frozen=True):
-    """The epoch known before, 0 for none; the new one is on the answerer's disk by now."""
+class HelloResponse(msgspec.Struct, frozen=True):
+    """`before`: the epoch known before, 0 for none. The responder has stored the new one."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     before: BootEpoch
 
 
@@ -41,7 +41,7 @@
     """A proposer's message to a replica of a register."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     ask: RegisterAsk
 
 
@@ -49,5 +49,5 @@
     """The replica's answer."""
 
     sender: PeerName
-    run: BootEpoch
+    boot_epoch: BootEpoch = msgspec.field(name="run")
     answer: RegisterAnswer
--- a/foxlift/director/cluster/ports.py
+++ b/foxlift/director/cluster/ports.py
@@ -24,7 +24,7 @@
 
 
 class Host(Protocol):
-    """The director, as its cluster service sees it. Requests are named by their number."""
+    """The director as used by its cluster service. Requests are identified by number."""
 
     def feed(self, event: events.Event) -> None:
         """Have the core handle an event."""
@@ -33,7 +33,7 @@
         """Have the core answer the request."""
 
     def turn_down(self, request: int, why: Why, come_back_ms: float) -> None:
-        """Answer the request without a session; `come_back_ms` 0: no time to come back after."""
+        """Answer the request without a session. `come_back_ms` 0: without a time to come back."""
 
     def relay(self, request: int, answer: Answer) -> None:
         """Answer the request with another director's answer."""
@@ -42,22 +42,22 @@
         """Take in a request that another director forwarded."""
 
     def forwardable(self, request: int) -> ForwardableRequest | None:
-        """The request as it is to be forwarded; None where its viewer has left."""
+        """The request in the form that is forwarded; None if its viewer has left."""
 
     def send_takeover(self, box: str, order: TakeOrder, done: Callable[[Answer | Failure], None]) -> bool:
-        """Send an order to a box; False where the box list does not name it."""
+        """Send an order to a box. False if the box list does not name it."""
 
     def adopt(self, box: str, answer: TakeAnswer) -> None:
-        """Take in what a box has handed over."""
+        """Take over sessions that a box has handed over."""
 
     def boot_of(self, keep: events.KeepIntent) -> str:
         """The box process that a paid set-up is for."""
 
     def epoch_renewed(self) -> None:
-        """This director goes on in a new boot epoch."""
+        """This director continues in a new boot epoch."""
 
     def superseded(self) -> None:
-        """Another process has this director's name: do nothing more."""
+        """Another process has this director's name: this one must stop acting."""
 
     def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
--- a/foxlift/director/cluster/registers.py
+++ b/foxlift/director/cluster/registers.py
@@ -26,7 +26,7 @@
 
 
 class RegisterReplica:
-    """This director as a replica. It rejects everything until its disk is known to be the last epoch's."""
+    """This director as a replica. Rejects everything until its disk is known to be the last epoch's."""
 
     def __init__(self, context: ClusterContext) -> None:
         self._context = context
@@ -34,21 +34,21 @@
         self._plan: Replica | None = None
 
     def begin(self, disk_lost: bool) -> None:
-        """Answer from now on. `disk_lost`: what the disk holds may be old, and counts from now only."""
+        """Respond from now on. `disk_lost`: old records may be missing, so only newer keys are answered."""
         store, peers = self._context.store, self._context.config.peers
         if disk_lost:
             now = int(self._context.now())
             self._context.log.error("the state folder is not the last run's: lost, or an older copy")
             store.mark_disk_lost(now)
             store.valid_since = now
-        apart = peers.clocks_apart_ms
-        self._tokens = Replica(peers.longest_token_s * 1000, apart, store.valid_since, store.records)
+        leeway_ms = peers.clocks_apart_ms
+        self._tokens = Replica(peers.longest_token_s * 1000, leeway_ms, store.valid_since, store.records)
         if self._context.name in peers.makers:
-            self._plan = Replica(PLAN_END_UNIX_MS, apart, store.valid_since, store.records)
+            self._plan = Replica(PLAN_END_UNIX_MS, leeway_ms, store.valid_since, store.records)
         self._context.log.info("registers vouched for", lost=disk_lost, held=len(store.records))
 
     def handle(self, ask: RegisterAsk, reply: Reply) -> None:
-        """Answer a proposer's message; `reply(None)` where the disk failed."""
+        """Handle a proposer's message; `reply(None)` if the disk failed."""
         replica = self._plan if ask.key == PLAN_KEY else self._tokens
         if replica is None:
             reply(Reject(ask.key, ask.ballot))
@@ -75,7 +75,7 @@
 
 
 class RegisterEndpoint:
-    """Carries proposers' messages: those of peers to the local replica, its own to every replica."""
+    """Carries proposers' messages: of peers to the local replica, of this director to every replica."""
 
     def __init__(self, context: ClusterContext, client: PeerClient, server: PeerServer) -> None:
         self._context, self._client, self._server = context, client, server
@@ -83,9 +83,9 @@
         server.add_handler("/peers/registers", self._receive)
 
     def send(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
-        """Ask a replica, which may be this director's own; `done` is never called from inside."""
+        """Send to a replica, which may be this director's own. `done` is never called within this call."""
 
-        def answered(answer: RegisterAnswer | None) -> None:
+        def respond(answer: RegisterAnswer | None) -> None:
             event = (
                 RequestFailed(send.request_id)
                 if answer is None
@@ -94,12 +94,12 @@
             self._context.loop.call_soon(done, event)
 
         if send.to == self._context.name:
-            self.replica.handle(send.message, answered)
+            self.replica.handle(send.message, respond)
             return
 
         def received(response: RegisterResponse | None) -> None:
             is_from_replica = response is not None and response.sender == send.to
-            answered(response.answer if response is not None and is_from_replica else None)
+            respond(response.answer if response is not None and is_from_replica else None)
 
         body = msgspec.json.encode(
             RegisterRequest(self._context.name, self._context.boot_epoch, send.message)
@@ -110,7 +110,7 @@
 
     def _receive(self, exchange: Exchange) -> None:
         request = msgspec.json.decode(exchange.request.body, type=RegisterRequest)
-        if not self._server.admits(exchange, request.sender, request.run):
+        if not self._server.admits(exchange, request.sender, request.boot_epoch):
             return
 
         def reply(answer: RegisterAnswer | None) -> None:
--- a/foxlift/director/cluster/server.py
+++ b/foxlift/director/cluster/server.py
@@ -1,10 +1,10 @@
-"""The listener for peers: finds the handler of a path and turns away who is not a peer.
+"""The listener for peers: dispatches requests by path and refuses senders that are not peers.
 
 POST /peers/view         membership probes: `membership.py`
 POST /peers/hello        a boot epoch begins: `disk_trust.py`
 POST /peers/registers    a proposer's message to a register's replica: `registers.py`
 POST /peers/zones, /peers/plan, /peers/order    `zone_endpoints.py`
-GET  /dash/...           a viewer's request, forwarded by the director that it came to
+GET  /dash/...           a viewer's request, forwarded by the director that received it
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class PeerServer:
-    """One director's. Handlers may raise MsgspecError for a body that they cannot read."""
+    """One director's listener. Handlers may raise MsgspecError for an unreadable body."""
 
     def __init__(
         self, context: ClusterContext, epoch_of: Callable[[str], int], receive_forwarded: Handler
     ) -> None:
-        """`epoch_of`: the latest boot epoch known of a peer, 0 for none."""
+        """`epoch_of`: the latest known boot epoch of a peer, 0 for none."""
         self._context, self._epoch_of, self._receive_forwarded = context, epoch_of, receive_forwarded
         self._handlers: dict[str, Handler] = {}
         max_connections = 16 * len(context.members) + 64
@@ -54,7 +54,7 @@
         exchange.reply_problem(status, title, detail)
 
     def admits(self, exchange: Exchange, sender: str, epoch: int) -> bool:
-        """Whether the sender is a peer of the settings in its latest boot epoch; refuses it if not."""
+        """Whether the sender is a peer of the settings in its latest boot epoch; if not, refuses."""
         if sender not in self._context.addresses:
             self.refuse(exchange, 403, "not a peer of the settings")
             return False
--- a/foxlift/director/cluster/service.py
+++ b/foxlift/director/cluster/service.py
@@ -1,11 +1,11 @@
 """One director's cluster service, made of its parts. Not imported where the settings name no peers.
 
     client, server            messages to and from peers
-    disk_trust, registers     whether the disk may be believed; this director as a replica of registers
+    disk_trust, registers     whether the disk is the last one; this director as a replica of registers
     membership                which peers are alive
-    takeovers, epoch_renewal  sessions of directors that are gone; a new epoch where this one is fenced off
+    takeovers, epoch_renewal  sessions of dead directors; a new epoch where this one is fenced off
     token_claims, forwarding  who may set a paid token up; who answers a request
-    zone_planning             the zones' plan in common, where the settings name planners
+    zone_planning             the common plan of zones, where the settings name planners
 
 The decisions are made by `foxlift.peers`, `foxlift.consensus`, `foxlift.recovery` and `foxlift.zones`, which
 do no I/O. Every message names its sender and the sender's boot epoch. Messages of a sender that the settings
@@ -44,7 +44,7 @@
 
 
 class ClusterService:
-    """One director's. `files`: where its registers and boot epochs last."""
+    """One director's cluster service. `files`: where its registers and boot epochs are stored."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
 
     @property
     def boot_epoch(self) -> int:
-        """This director's present one."""
+        """The present boot epoch."""
         return self._context.boot_epoch
 
     @property
@@ -100,7 +100,7 @@
         return self.port
 
     def leave(self) -> None:
-        """Tell the peers that this director stops in order: they take its sessions over."""
+        """Announce to the peers that this director stops: they take its sessions over."""
         self.membership.leave()
 
     async def stop(self, grace_ms: float = STOP_TIME_MS) -> None:
@@ -108,7 +108,7 @@
         await self._server.stop(grace_ms)
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Close all connections and the store."""
         self._context.closed = True
         self._client.close()
         self._context.store.close()
@@ -120,15 +120,15 @@
         self._schedule.boxes_listed(boxes)
 
     def own_done(self, box: str) -> bool:
-        """Whether what earlier epochs left at this box is the present one's by now."""
+        """Whether the sessions of earlier epochs at this box belong to the present one now."""
         return self._schedule.own_done(box)
 
     def fetch(self, box: str) -> None:
-        """The box names sessions of this director that it does not know: have them handed over."""
+        """The box reports sessions of this director that it does not know: take them over."""
         self._orders.send(box, self._context.name, self.boot_epoch - 1, True, lambda _: None)
 
     def renew_epoch(self, refusal: Answer | Failure | None = None) -> None:
-        """A box says that the present boot epoch is over there: go on in another one."""
+        """A box has fenced the present boot epoch off: continue in another one."""
         self._renewal.renew(refusal)
 
     def _epoch_renewed(self) -> None:
@@ -138,23 +138,23 @@
         self._schedule.epoch_begun()
 
     # ---- Peers: `MembershipListener` ----------------------------------------------------------------------
-    def peer_heard(self, name: str) -> None:
-        """A message of this peer has come."""
-        self._schedule.peer_heard(name)
+    def peer_contacted(self, name: str) -> None:
+        """A message of this peer has arrived."""
+        self._schedule.peer_contacted(name)
 
     def peer_changed(self, name: str, state: PeerState, epoch: int) -> None:
-        """What is believed of a peer has changed."""
+        """The belief about a peer has changed."""
         self._schedule.peer_changed(name, state, epoch, tuple(self.membership.alive()))
 
     def superseded_by(self, epoch: int) -> None:
         """A peer knows a later epoch of this director: another process has its name, or its disk is lost."""
-        is_own_earlier = epoch <= self._disk_trust.last_epoch_told
+        is_own_earlier = epoch <= self._disk_trust.last_reported_epoch
         if self._disk_trust.trusted and not is_own_earlier:
             self._context.log.error("another process has this director's name", run=epoch)
             self._host.superseded()
         else:
-            # no disk and a clock set back: the epoch that they know is its own last, also where a probe's
-            # answer tells of it just after enough hellos have been answered
+            # after a lost disk and a clock set back the peers know this director's own last epoch; a probe's
+            # response may report it just after enough peers have answered the hello
             self._renewal.renew(above=epoch)
 
     def _epoch_of(self, name: str) -> int:
@@ -162,15 +162,15 @@
 
     # ---- Zones: `PlanningNetwork` -------------------------------------------------------------------------
     def notify(self, name: str, path: str, body: bytes) -> None:
-        """Send a message that a later one repeats."""
+        """Send a message that is repeated later."""
         self._client.notify(name, path, body)
 
     def send_to_register(self, send: Send, done: Callable[[ResponseReceived | RequestFailed], None]) -> None:
-        """Ask a replica of the plan's register."""
+        """Send to a replica of the plan's register."""
         self._registers.send(send, done)
 
     def alive(self) -> list[str]:
-        """Names of those that are believed to be there, this director first."""
+        """Names of the alive and suspected directors, this one first."""
         return self.membership.alive()
 
     def zone_observations(self) -> dict[str, ZoneObservation]:
--- a/foxlift/director/cluster/takeovers.py
+++ b/foxlift/director/cluster/takeovers.py
@@ -18,7 +18,7 @@
 
 
 class TakeoverOrders:
-    """Sends takeover orders. What a server hands over goes to the host before the sender is told."""
+    """Sends takeover orders. Sessions that a server hands over go to the host before `done` is called."""
 
     def __init__(self, context: ClusterContext, host: Host, renewal: EpochRenewal) -> None:
         self._context, self._host, self._renewal = context, host, renewal
@@ -32,7 +32,7 @@
         done: Callable[[TakeAnswer | TakeoverFailure], None],
         only_set_up: str | None = None,
     ) -> None:
-        """Ask for what `owner` has at a box in epochs up to one (0: the last that the box has seen)."""
+        """Ask a box for the sessions of `owner` in epochs up to `up_to_epoch` (0: the latest it knows)."""
         context = self._context
         epoch = context.boot_epoch
         order = TakeOrder(owner, up_to_epoch, context.name, epoch, certain, only_set_up)
@@ -80,35 +80,35 @@
         )
 
     def epoch_begun(self) -> None:
-        """Take over what earlier epochs of this director have."""
+        """Take over the sessions of earlier epochs of this director."""
         self._handle(takeover.EpochBegun(self._context.boot_epoch))
 
     def boxes_listed(self, boxes: frozenset[str]) -> None:
         """The box list has changed."""
         self._handle(takeover.BoxesListed(boxes))
 
-    def peer_heard(self, name: str) -> None:
-        """A message of this peer has come."""
+    def peer_contacted(self, name: str) -> None:
+        """A message of this peer has arrived."""
         self._handle(takeover.PeerContacted(name))
 
     def peer_changed(self, name: str, state: PeerState, epoch: int, alive: tuple[str, ...]) -> None:
-        """What is believed of a peer has changed; `alive`: all that are believed to be there."""
+        """The belief about a peer has changed; `alive`: all alive and suspected directors."""
         self._handle(takeover.PeerChanged(name, state, epoch, alive))
 
     def is_gone(self, name: str) -> bool:
-        """Whether a director's work is to be taken over."""
+        """Whether a director's sessions are to be taken over."""
         return self._takeovers.is_gone(name)
 
     def successor(self, name: str, box: str) -> str:
-        """Who takes a director's sessions at a box over."""
+        """Which director takes over another's sessions at a box."""
         return self._takeovers.successor(name, box)
 
     def is_certain(self, name: str) -> bool:
-        """Whether a director's sessions may be taken even where a box still hears from it."""
+        """Whether a box is to hand over a director's sessions even while it hears from it."""
         return self._takeovers.certain(self._context.now(), name)
 
     def own_done(self, box: str) -> bool:
-        """Whether what earlier epochs left at this box is the present one's by now."""
+        """Whether the sessions of earlier epochs at this box belong to the present one now."""
         return self._takeovers.own_done(box)
 
     def _handle(self, event: takeover.Event) -> None:
--- a/foxlift/director/cluster/token_claims.py
+++ b/foxlift/director/cluster/token_claims.py
@@ -1,6 +1,6 @@
 """Claims of paid tokens: a token's register names the one director that may set its session up.
 
-The rules are those of `foxlift.recovery.claims`; here is what waits for a claim's outcome.
+Carries out the rules of `foxlift.recovery.claims` and calls back with each claim's outcome.
 """
 
 from __future__ import annotations
@@ -19,36 +19,34 @@
 from foxlift.recovery import claims
 from foxlift.recovery.claims import Claim
 
-MAX_REPLACEABLE = 10_000  # claims proved never to have run
+MAX_REPLACEABLE = 10_000  # claims that are proved never to have run
 MAX_OWN_CLAIMS = 100_000
-MAX_BACKGROUND_CLAIMS = (
-    16  # at once: a director's death must not flood the replicas of its sessions' registers
-)
+MAX_BACKGROUND_CLAIMS = 16  # at once, so that a director's death does not flood the registers' replicas
 MAX_RECLAIM_RETRIES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """What is done once a claim has ended; one of the three is called, once."""
+    """Callbacks for the end of a claim; one of the three is called, once."""
 
     held: Callable[[], None]
-    owned_elsewhere: Callable[[Claim | None], None]  # the register's value, None: it cannot be read
+    owned_elsewhere: Callable[[Claim | None], None]  # the register's value, None if unreadable
     no_quorum: Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Reclaim:
-    """A session that was taken over: its register is to name this director."""
+    """A session that was taken over, whose register is to name this director."""
 
     token: str
     claim: Claim
     expires: int
-    expected: Claim | None = None  # what the register holds, as far as is known
+    expected: Claim | None = None  # what the register is believed to hold
     retries: int = MAX_RECLAIM_RETRIES
 
 
-def _nothing() -> None:
-    """An outcome that nobody waits for."""
+def _ignore() -> None:
+    """Ignores an outcome."""
 
 
 class TokenClaims:
@@ -59,7 +57,7 @@
         proposer = Proposer(f"{context.name}.{context.boot_epoch}", context.config.seed)
         self._claims = claims.PaidClaims(context.name, context.boot_epoch, proposer)
         self._outcomes: dict[int, ClaimOutcome] = {}
-        self._background: set[int] = set()  # of those: the ones that no set-up waits for
+        self._background: set[int] = set()  # those of them that no set-up waits for
         self._reclaims: deque[_Reclaim] = deque()
         self._own: dict[str, Claim] = {}  # by token, the oldest first
         self._replaceable: dict[str, Claim] = {}  # by token
@@ -74,13 +72,13 @@
         self._claims.lose(set_up)
 
     def allow_replacement(self, token: str, claim: Claim) -> None:
-        """This claim was proved never to have run: the token's next one may take its place."""
+        """This claim is proved never to have run: the token's next claim may replace it."""
         if len(self._replaceable) < MAX_REPLACEABLE:
             self._replaceable[token] = claim
 
     # ---- Set-ups ------------------------------------------------------------------------------------------
     def claim(self, keep: events.KeepIntent, then: Callable[[], None]) -> None:
-        """Claim the token of a paid set-up; `then` once it is held. Else the core is told whose it is."""
+        """Claim the token of a paid set-up. Calls `then` if granted; else the core gets the owner."""
         token, context = keep.token, self._context
         boot = self._host.boot_of(keep)
         claim = Claim(context.name, context.boot_epoch, keep.box, keep.set_up, int(context.now()), boot)
@@ -94,17 +92,17 @@
             self._host.feed(events.ClaimedElsewhere(keep.session, keep.attempt, owner, quorum))
 
         context.counters.add("claims")
-        self._check_life_time(token.expires)
+        self._check_lifetime(token.expires)
         outcome = ClaimOutcome(
             held,
             lambda owner: not_held(owner, quorum=True),
             lambda: not_held(None, quorum=False),
         )
         expected = self._replaceable.pop(token.id, None)
-        self._want(context.next_number(), token.id, claim, token.expires, expected, outcome)
+        self._request_claim(context.next_number(), token.id, claim, token.expires, expected, outcome)
 
-    def _check_life_time(self, expires: int) -> None:
-        """Logged once: every token of that kind is refused."""
+    def _check_lifetime(self, expires: int) -> None:
+        """Logged once, as every token of that kind is refused."""
         life_s = expires - self._context.timeline.unix_s()
         if life_s > self._context.config.peers.longest_token_s and not self._long_token_logged:
             self._long_token_logged = True
@@ -118,17 +116,17 @@
 
     # ---- Without a set-up ---------------------------------------------------------------------------------
     def query(self, token: str, expires: int, outcome: ClaimOutcome) -> bool:
-        """Whether the register still has this director's own claim; False: it has made none."""
+        """Ask whether the register still has this director's claim. False if it has made none."""
         own = self._own.get(token)
         if own is None:
             return False
-        self._want_in_background(token, own, expires, None, outcome)
+        self._request_in_background(token, own, expires, None, outcome)
         return True
 
     def reclaim(self, token: str, set_up: str, box: str, boot: str, expires: int) -> None:
-        """A session was taken over: its register names this director from now on.
+        """A session was taken over: change its register to name this director.
 
-        Where that cannot be done the register goes on naming one that is gone, whose successor is asked then.
+        If that fails, the register still names the dead director, whose successor is then asked.
         """
         context = self._context
         claim = Claim(context.name, context.boot_epoch, box, set_up, int(context.now()), boot)
@@ -140,24 +138,24 @@
             self._start_reclaim(self._reclaims.popleft())
 
     def _start_reclaim(self, reclaim: _Reclaim) -> None:
-        """Put the claim in where the register holds what is expected; learn what else it holds."""
+        """Write the claim where the register holds the expected one; else learn what it holds."""
 
         def owned_elsewhere(owner: Claim | None) -> None:
             if reclaim.retries and owner is not None and owner.set_up == reclaim.claim.set_up:
                 self._start_reclaim(replace(reclaim, expected=owner, retries=reclaim.retries - 1))
 
-        outcome = ClaimOutcome(_nothing, owned_elsewhere, _nothing)
-        self._want_in_background(reclaim.token, reclaim.claim, reclaim.expires, reclaim.expected, outcome)
+        outcome = ClaimOutcome(_ignore, owned_elsewhere, _ignore)
+        self._request_in_background(reclaim.token, reclaim.claim, reclaim.expires, reclaim.expected, outcome)
 
-    def _want_in_background(
+    def _request_in_background(
         self, token: str, claim: Claim, expires: int, expected: Claim | None, outcome: ClaimOutcome
     ) -> None:
         number = self._context.next_number()
         self._background.add(number)
-        self._want(number, token, claim, expires, expected, outcome)
+        self._request_claim(number, token, claim, expires, expected, outcome)
 
     # ---- The register -------------------------------------------------------------------------------------
-    def _want(
+    def _request_claim(
         self,
         number: int,
         token: str,
@@ -168,9 +166,9 @@
     ) -> None:
         config, peers = self._context.config, self._context.config.peers
         self._outcomes[number] = outcome
-        want = claims.ClaimRequested(
+        request = claims.ClaimRequested(
             number,
-            f"t/{token}",  # no token's own name is another kind of key
+            f"t/{token}",  # the prefix keeps tokens apart from other kinds of key
             claim,
             (expires + config.tokens.leeway_s) * 1000,
             peers.claim_ms,
@@ -178,10 +176,10 @@
             expected,
             self._former_replicas(token),
         )
-        self._handle(want)
+        self._handle(request)
 
     def _former_replicas(self, token: str) -> tuple[str, ...]:
-        """Replicas of its register before the fleet, or the number of replicas, changed."""
+        """Replicas of the register before the directors, or the number of replicas, changed."""
         peers = self._context.config.peers
         if not peers.former and not peers.former_holders:
             return ()
--- a/foxlift/director/cluster/zone_endpoints.py
+++ b/foxlift/director/cluster/zone_endpoints.py
@@ -1,8 +1,8 @@
 """The zone plan's messages on the peers' listener.
 
 POST /peers/zones    a director's report to a planner
-POST /peers/plan     a plan told on
-POST /peers/order    an operator's order for a zone, told to every planner by whoever it is given to
+POST /peers/plan     a plan passed on by a peer
+POST /peers/order    an operator's order for a zone, passed on to every planner
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ZoneEndpoints:
-    """Hands messages to the planning of zones. Made only where the settings name planners."""
+    """Passes messages to the zone planning. Only exists where the settings name planners."""
 
     def __init__(self, server: PeerServer, planning: ZonePlanning) -> None:
         self._server, self._planning = server, planning
--- a/foxlift/director/cluster/zone_planning.py
+++ b/foxlift/director/cluster/zone_planning.py
@@ -1,7 +1,7 @@
-"""A director's side of the zones' plan in common: carries out what `foxlift.zones` decides.
+"""A director's part in the common plan of zones: carries out what `foxlift.zones` decides.
 
-It reports to the planners each second and, where it is a planner itself, agrees with the others on a plan by
-a consensus register. Off where the settings name no planners (`makers`).
+It reports to the planners each second and, if it is a planner itself, agrees with the others on a plan by a
+consensus register. Off where the settings name no planners (`makers`).
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from foxlift.zones.plan import OperatorOrder, Plan, Planner, ZoneState
 
 REPORT_INTERVAL_MS = 1000.0
-MIN_SHARE = 1e-6  # of a zone that is neither chosen nor left by the plan
+MIN_SHARE = 1e-6  # of a zone that is neither a target nor left by the plan
 MAX_ZONES = 1000  # in one report
 
 ZoneName = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
 class ReportMessage(msgspec.Struct, frozen=True):
-    """A director's report; when it came is its time."""
+    """A director's report; the receiver takes the time of arrival."""
 
     sender: PeerName
     boot_epoch: BootEpoch = msgspec.field(name="run")
@@ -42,7 +42,7 @@
 
 
 class PlanMessage(msgspec.Struct, frozen=True):
-    """A plan told on; `made`: ms since a planner was heard of."""
+    """A plan passed on. `planner_age_ms`: ms since a planner was known to be alive."""
 
     sender: PeerName
     boot_epoch: BootEpoch = msgspec.field(name="run")
@@ -51,7 +51,7 @@
 
 
 class OrderMessage(msgspec.Struct, frozen=True):
-    """An operator's order; `order` None takes it back. `sender` empty: from the operator."""
+    """An operator's order; `order` None withdraws it. `sender` empty: sent by the operator."""
 
     zone: ZoneName
     order: OperatorOrder | None = None
@@ -60,18 +60,18 @@
 
 
 class PlanningNetwork(Protocol):
-    """What the planning uses of its cluster service."""
+    """What the planning uses of the cluster service."""
 
     def notify(self, name: str, path: str, body: bytes) -> None:
-        """Send a message that a later one repeats."""
+        """Send a message that is repeated later."""
 
     def send_to_register(
         self, send: register.Send, done: Callable[[register.ResponseReceived | register.RequestFailed], None]
     ) -> None:
-        """Ask a replica of the plan's register."""
+        """Send to a replica of the plan's register."""
 
     def alive(self) -> list[str]:
-        """Names of those that are believed to be there, this director first."""
+        """Names of the alive and suspected directors, this one first."""
 
     def zone_observations(self) -> dict[str, ZoneObservation]:
         """What this director observes of each zone."""
@@ -152,7 +152,7 @@
                 self._network.notify(planner, "/peers/zones", body)
 
     def receive_report(self, message: ReportMessage) -> None:
-        """A report of a director in its present boot epoch."""
+        """Handle a report of a director in its present boot epoch."""
         report = Report(
             message.sender,
             message.boot_epoch,
@@ -166,11 +166,11 @@
 
     # ---- Plans and orders ---------------------------------------------------------------------------------
     def receive_plan(self, message: PlanMessage) -> None:
-        """A plan that a peer follows."""
+        """Handle a plan that a peer uses."""
         self._handle(agreement.PlanReceived(message.plan, message.planner_age_ms))
 
     def receive_order(self, message: OrderMessage) -> bool:
-        """An operator's order; False for a zone that the settings do not name."""
+        """Handle an operator's order. False if the settings do not name the zone."""
         if message.zone not in self._config.fleet.zones:
             return False
         if not message.sender:
@@ -179,7 +179,7 @@
         return True
 
     def _pass_order_on(self, message: OrderMessage) -> None:
-        """An order that the operator gave to this director is every planner's."""
+        """Send an order that the operator gave to this director to every planner."""
         context = self._context
         order = message.order and message.order.value
         context.log.warning("operator's order", zone=message.zone, order=order)
@@ -198,10 +198,10 @@
 
 
 def shares_of(plan: Plan, home: str, zones: tuple[str, ...]) -> tuple[float, ...]:
-    """Where the viewers of a zone go, a share for each zone; empty where the plan changes nothing.
+    """Where the viewers of a zone go, a share for each zone; empty if the plan changes nothing.
 
-    What is neither their own nor a target keeps hardly a share, so that a title that lies nowhere else is
-    found there before it is looked for in a zone that the plan leaves.
+    Zones that are neither their own nor a target keep a tiny share, so that a title that is stored nowhere
+    else is found there before a zone that the plan empties is tried.
     """
     left = {zone for zone in zones if plan.for_zone(zone).state in (ZoneState.EMPTIED, ZoneState.ALONE)}
     own = plan.for_zone(home)
--- a/foxlift/peers/view.py
+++ b/foxlift/peers/view.py
@@ -1,5 +1,4 @@
-"""A director's view of which peers are alive: SWIM with Lifeguard's local health, over requests and
-responses.
+"""A director's view of which peers are alive: SWIM with Lifeguard's local health.
 
 Das, Gupta, Motivala: SWIM, DSN 2002; Dadgar, Phillips, Currey: Lifeguard, DSN 2018. The settings name the
 peers: gossip neither finds nor admits any, and dead peers are still probed now and then.
--- a/foxlift/recovery/claims.py
+++ b/foxlift/recovery/claims.py
@@ -1,5 +1,4 @@
-"""Which director may set a paid token up: its register is changed before the set-up is sent. No I/O, no
-clock.
+"""Which director may set a paid token up: its register is changed before the set-up is sent. No I/O.
 
     claim     event                                       next      what is done
     (none)    ClaimRequested                              CLAIMING  register: empty -> this attempt
@@ -131,8 +130,7 @@
         return len(self._pending)
 
     def lose(self, set_up: str) -> None:
-        """Another director owns this set-up. It plays, so its claim must not be replaced as an earlier
-        attempt.
+        """Another director owns this set-up. It plays: its claim must not be replaced.
 
         The boot epoch is renewed soon after; until then only this prevents a second set-up.
         """
