--- a/bench/scale/plan.py
+++ b/bench/scale/plan.py
@@ -166,7 +166,7 @@
         seed,
         each=each,
         zones=dict(REGION_OF_ZONE),
-        makers_in=(zones[0], zones[1], zones[3], zones[4], zones[6]),
+        planners_in=(zones[0], zones[1], zones[3], zones[4], zones[6]),
     )
     fleet.run(SETTLE_MS)
     lost = zones[-1]
--- a/tests/peers_world.py
+++ b/tests/peers_world.py
@@ -1,4 +1,4 @@
-"""A fleet of directors' views in virtual time, over a network that loses, delays, doubles and cuts."""
+"""A fleet of membership views in virtual time, over a network with random faults."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 @dataclass
 class Member:
-    """A process: its view, and what waits for it while it stands still."""
+    """A process and its view."""
 
     view: pr.Peers
     up: bool = True
     still_until: float = 0.0
-    slow_ms: float = 0.0  # most that it is late with what it sends and hears
+    slow_ms: float = 0.0  # maximum delay of each message that it sends or receives
 
 
 @dataclass
 class Fleet:
-    """`names` directors; `make` is for views with a guard switched off."""
+    """`count` directors. `make`: a view class, for tests with one rule switched off."""
 
     count: int
     seed: int = 1
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     make: type[pr.Peers] = pr.Peers
     now: float = 1.0
     members: dict[str, Member] = field(default_factory=dict)
@@ -40,7 +40,7 @@
     superseded: set[str] = field(default_factory=set)
     sent: Counter[str] = field(default_factory=Counter)
     sent_bytes: Counter[str] = field(default_factory=Counter)
-    wire: list[tuple[str, str, bytes]] = field(default_factory=list)  # asks, for replays
+    wire: list[tuple[str, str, bytes]] = field(default_factory=list)  # requests, for replays
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
@@ -52,7 +52,7 @@
             self.start(name, 1)
 
     def start(self, name: str, run: int) -> None:
-        """A process under the name, in place of an older one."""
+        """Start a process with the name, in place of an older one."""
         view = self.make(name, run, self.names, self.seed)
         self.members[name] = Member(view)
         self._do(name, view.start())
@@ -62,13 +62,13 @@
             self.members[name].up = False
 
     def part(self, ones: set[str], others: set[str], both: bool = True) -> None:
-        """What ones send to others gets lost."""
+        """Drop messages from `ones` to `others`, or in both directions."""
         self.cut |= {(a, b) for a in ones for b in others}
         if both:
             self.cut |= {(b, a) for a in ones for b in others}
 
     def run(self, ms: float, until: Callable[[], bool] | None = None) -> float:
-        """Time passes; when it became true, or the end."""
+        """Let time pass; returns when `until` became true, or the end."""
         end = self.now + ms
         while self._queue and self._queue[0][0] <= end:
             self.now, _, name, event = heapq.heappop(self._queue)
@@ -88,7 +88,7 @@
         return all(m.view.state(name) in states for n, m in self.members.items() if m.up and n != name)
 
     def deaths(self, since: float = 0.0) -> set[str]:
-        """Who was believed dead by anybody."""
+        """Names that any director believed dead."""
         return {c.name for at, _, c in self.changes if c.state is pr.PeerState.DEAD and at >= since}
 
     # ---- Network ------------------------------------------------------------------------------------------
@@ -97,7 +97,7 @@
         heapq.heappush(self._queue, (at, self._order, name, event))
 
     def _pass(self, sender: str, to: str, event: Callable[[], pr.Event | None]) -> None:
-        times = 2 if self.random.random() < self.doubled else 1
+        times = 2 if self.random.random() < self.duplicated else 1
         for _ in range(times):
             if to not in self.members or (sender, to) in self.cut or self.random.random() < self.loss:
                 continue
@@ -107,7 +107,7 @@
             self._later(self.now + delay, to, event)
 
     def ask(self, sender: str, to: str, body: bytes, answered: Callable[[bytes], None]) -> None:
-        """An ask on its way: answered once at the most, whatever is doubled."""
+        """Send a request; it is answered once at most, even if duplicated."""
         self._requests += 1
         request = self._requests
 
@@ -139,7 +139,7 @@
                     self.superseded.add(f"{name}.{run.boot_epoch}")
 
     def _own(self, name: str, view: pr.Peers, event: pr.Event) -> pr.Event | None:
-        """For the process that asked, not for one that came after it under its name."""
+        """Deliver to the process that started the timer, not to a later one with its name."""
         return event if self.members[name].view is view else None
 
     def _send(self, name: str, view: pr.Peers, to: str, number: int, body: bytes, within: float) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""The box list: EDS in JSON, and the client's state machine."""
+"""The box list: EDS in JSON, and the client's state machine.
+
+The failures guarded against: a list that is misread or accepted with errors, and a client whose published
+list differs from its own after deltas, failures or late responses.
+"""
 
 from __future__ import annotations
 
@@ -33,12 +37,12 @@
     return BoxEntry(name, box_number(name), "127.0.0.1", 8000, "east", "std", 3, status, 1.5, 17.0)
 
 
-def test_a_list_comes_back_as_it_was_written() -> None:
+def test_a_list_is_read_back_as_it_was_written() -> None:
     held = BoxList(7, (box("a"), box("b", fl.Status.DRAINING), replace(box("c"), zone="west")))
     assert read_response(encode_full(held)) == held
 
 
-def test_envoys_own_types_read_what_is_written() -> None:
+def test_envoys_own_types_can_read_the_encoded_list() -> None:
     from envoy.config.endpoint.v3 import endpoint_pb2
     from google.protobuf import json_format
 
@@ -57,7 +61,7 @@
         assert found.boxes == (box("a"), box("b", fl.Status.DRAINING))
 
 
-def test_changes_name_boxes_and_what_is_gone() -> None:
+def test_a_delta_names_changed_and_removed_boxes() -> None:
     body = {
         "system_version_info": "9",
         "resources": [{"name": "a", "version": "9", "resource": lb_endpoint(box("a", fl.Status.DRAINING))}],
@@ -87,7 +91,9 @@
         (["load_balancing_weight"], 0, "load_balancing_weight"),
     ],
 )
-def test_what_cannot_be_used_is_refused_by_its_field(path: list[Any], new: Any, words: str) -> None:
+def test_an_invalid_list_is_refused_and_the_error_names_the_field(
+    path: list[Any], new: Any, words: str
+) -> None:
     body = json.loads(encode_full(BoxList(7, (box("a"),))))
     target = body if path[0] in body else body["resources"][0]["endpoints"][0]["lb_endpoints"][0]
     _damage(target, path, new)
@@ -95,7 +101,7 @@
         read_response(json.dumps(body).encode())
 
 
-def test_a_box_listed_twice_is_refused() -> None:
+def test_a_box_that_is_listed_twice_is_refused() -> None:
     with pytest.raises(ListError, match="a: listed twice"):
         read_response(encode_full(BoxList(7, (box("a"), box("a")))))
 
@@ -107,7 +113,7 @@
 
 
 # ---- The watch --------------------------------------------------------------------------------------------
-def held(watch: ListWatch) -> set[str]:
+def names_of(watch: ListWatch) -> set[str]:
     return set(watch.boxes)
 
 
@@ -118,51 +124,51 @@
     return watch
 
 
-def test_the_cached_list_is_told_first_and_the_whole_one_is_asked_for() -> None:
+def test_the_cached_list_is_published_first_and_the_full_one_requested() -> None:
     cached = BoxList(5, (box("a"),))
     watch = ListWatch(cached, 100.0, 1)
     assert watch.handle(PollDue()) == [PublishList(fl.ListKind.CACHED, cached.boxes), Poll(None)]
-    news = BoxList(3, (box("b"),))  # the service's versions may have begun anew
-    assert watch.handle(ListReceived(news)) == [
-        PublishList(fl.ListKind.FULL, news.boxes),
-        CacheList(news),
+    update = BoxList(3, (box("b"),))  # the service's versions may have restarted
+    assert watch.handle(ListReceived(update)) == [
+        PublishList(fl.ListKind.FULL, update.boxes),
+        CacheList(update),
         Poll(3),
     ]
 
 
-def test_changes_are_told_as_they_came_and_what_is_gone_with_its_status() -> None:
+def test_a_delta_is_published_with_removed_boxes_as_gone() -> None:
     watch = started()
-    told, cached, poll = watch.handle(ListReceived(ListDelta(6, (box("c"),), ("a", "nobody"))))
-    assert told == PublishList(fl.ListKind.DELTA, (box("c"), replace(box("a"), status=fl.Status.GONE)))
+    published, cached, poll = watch.handle(ListReceived(ListDelta(6, (box("c"),), ("a", "nobody"))))
+    assert published == PublishList(fl.ListKind.DELTA, (box("c"), replace(box("a"), status=fl.Status.GONE)))
     assert isinstance(cached, CacheList)
     assert {b.name for b in cached.boxes.boxes} == {"b", "c"}
     assert poll == Poll(6)
 
 
 @pytest.mark.parametrize("version", [4, 5])
-def test_old_news_undo_nothing(version: int) -> None:
+def test_an_old_list_or_delta_changes_nothing(version: int) -> None:
     watch = started()
     old = box("a", fl.Status.DRAINING)
     assert watch.handle(ListReceived(ListDelta(version, (old,), ()))) == [Poll(5)]
-    # an old whole list may be a late answer or a service that went back: asked for whole, it says which
+    # an old full list may be a late response or a restarted service: the next full list shows which
     assert watch.handle(ListReceived(BoxList(version, (old,)))) == [Poll(None)]
     assert watch.boxes["a"].status is fl.Status.READY
-    told = watch.handle(ListReceived(BoxList(version, (old,))))[0]
-    assert told == PublishList(fl.ListKind.FULL, (old,))
+    published = watch.handle(ListReceived(BoxList(version, (old,))))[0]
+    assert published == PublishList(fl.ListKind.FULL, (old,))
 
 
-def test_failures_are_told_and_asked_again_ever_later() -> None:
+def test_failures_are_published_and_polls_back_off() -> None:
     watch = started()
     waits = []
     for _ in range(8):
-        told, later = watch.handle(ListFailed())
-        assert told == PublishList(fl.ListKind.FAILED)
+        published, later = watch.handle(ListFailed())
+        assert published == PublishList(fl.ListKind.FAILED)
         assert isinstance(later, SchedulePoll)
         waits.append(later.delay_ms)
         assert watch.handle(PollDue()) == [Poll(5)]
     assert 50 <= waits[0] <= 100
     assert 800 <= waits[-1] <= 1600
-    assert held(watch) == {"a", "b"}
+    assert names_of(watch) == {"a", "b"}
     watch.handle(ListFailed(unreadable=True))
     assert watch.handle(PollDue()) == [Poll(None)]
 
@@ -188,17 +194,17 @@
         max_size=30,
     )
 )
-def test_what_the_module_was_told_is_what_is_held(script: list[Any]) -> None:
+def test_the_published_list_equals_the_clients_list(script: list[Any]) -> None:
     watch = ListWatch(None, 100.0, 1)
-    told: dict[str, BoxEntry] = {}
-    questions = 0
+    published: dict[str, BoxEntry] = {}
+    polls = 0
     for event in [PollDue(), *script]:
         actions = watch.handle(event)
-        questions += sum(isinstance(a, Poll | SchedulePoll) for a in actions)
+        polls += sum(isinstance(a, Poll | SchedulePoll) for a in actions)
         for action in actions:
             if isinstance(action, PublishList) and action.kind is not fl.ListKind.FAILED:
                 if action.kind is fl.ListKind.FULL:
-                    told = {}
-                told.update({b.name: b for b in action.boxes})
-                told = {n: b for n, b in told.items() if b.status is not fl.Status.GONE}
-        assert told == watch.boxes
+                    published = {}
+                published.update({b.name: b for b in action.boxes})
+                published = {n: b for n, b in published.items() if b.status is not fl.Status.GONE}
+        assert published == watch.boxes
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,9 @@
-"""Who is there, in virtual time: what must be found out, what must not be believed, and what it costs."""
+"""Membership in virtual time: deaths are detected, live directors are not believed dead, and the cost is
+bounded.
+
+The failures guarded against: a dead director that stays believed alive, or a live one believed dead, after
+loss, delays, partitions, restarts, or while the observing director is slow itself.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("count", "seed"), [(2, 1), (9, 1), (9, 2), (9, 3), (60, 4)])
-def test_a_fleet_that_starts_at_once_knows_itself_and_a_death_is_known_to_all(count: int, seed: int) -> None:
+def test_directors_that_start_together_find_each_other_and_all_detect_a_death(count: int, seed: int) -> None:
     fleet = settled(Fleet(count, seed))
     fleet.kill("d1")
     begin = fleet.now
@@ -37,13 +42,13 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nobody_who_lives_is_believed_dead_on_a_bad_network(seed: int) -> None:
-    fleet = settled(Fleet(9, seed, loss=0.1, doubled=0.1))
+def test_no_live_director_is_believed_dead_on_a_lossy_network(seed: int) -> None:
+    fleet = settled(Fleet(9, seed, loss=0.1, duplicated=0.1))
     fleet.run(120_000)
     assert not fleet.deaths()
 
 
-def test_one_that_stands_still_is_told_of_its_death_and_refutes_it() -> None:
+def test_a_stalled_director_learns_that_it_is_believed_dead_and_refutes_it() -> None:
     fleet = settled(Fleet(9))
     fleet.members["d3"].still_until = fleet.now + 30_000
     fleet.run(30_000)
@@ -53,8 +58,8 @@
     assert fleet.deaths(fleet.now - 30_000 + 5_000) <= {"d3"}
 
 
-def wrongly_dead(make: type[pr.Peers], seed: int) -> int:
-    """How often a slow director suspected others: up to 350 ms late with all that it sends and hears."""
+def wrong_suspicions(make: type[pr.Peers], seed: int) -> int:
+    """How often a slow director suspected others; all its messages are up to 350 ms late."""
     fleet = settled(Fleet(12, seed, make=make))
     fleet.members["d0"].slow_ms = 350.0
     fleet.run(90_000)
@@ -62,16 +67,16 @@
 
 
 def test_a_director_that_is_slow_itself_suspects_others_less() -> None:
-    class Sure(pr.Peers):
-        def _adjust_health(self, worse: int) -> None:
+    class WithoutLocalHealth(pr.Peers):
+        def _adjust_health(self, change: int) -> None:
             pass
 
-    with_health = sum(wrongly_dead(pr.Peers, seed) for seed in range(3))
-    without = sum(wrongly_dead(Sure, seed) for seed in range(3))
+    with_health = sum(wrong_suspicions(pr.Peers, seed) for seed in range(3))
+    without = sum(wrong_suspicions(WithoutLocalHealth, seed) for seed in range(3))
     assert with_health * 2 < without
 
 
-def test_a_cut_has_two_halves_that_know_they_are_no_majority_or_are_and_heals() -> None:
+def test_in_a_partition_each_half_knows_whether_it_is_a_majority_and_it_heals() -> None:
     fleet = settled(Fleet(9))
     ones, others = set(fleet.names[:4]), set(fleet.names[4:])
     fleet.part(ones, others)
@@ -85,24 +90,24 @@
     assert all(fleet.all_believe(name, ALIVE) for name in fleet.names)
 
 
-def test_one_that_can_be_asked_by_others_only_is_not_believed_dead() -> None:
+def test_a_director_that_only_helpers_reach_is_not_believed_dead() -> None:
     fleet = settled(Fleet(9))
-    fleet.part({"d0"}, {"d1"})  # each hears of the other by those between
+    fleet.part({"d0"}, {"d1"})  # each is reached through others
     fleet.run(60_000)
     assert not fleet.deaths()
 
 
-def test_one_that_hears_and_is_not_heard_is_found_out() -> None:
+def test_a_director_that_receives_but_cannot_send_is_believed_dead() -> None:
     fleet = settled(Fleet(9))
     fleet.part({"d2"}, set(fleet.names) - {"d2"}, both=False)
     fleet.run(60_000, lambda: fleet.all_believe("d2", DEAD))
     assert fleet.all_believe("d2", DEAD) and fleet.deaths() <= {"d2"}
 
 
-def test_a_later_run_takes_the_name_and_the_earlier_one_is_told_to_stop() -> None:
+def test_a_later_boot_epoch_takes_the_name_and_the_earlier_one_is_superseded() -> None:
     fleet = settled(Fleet(5))
     old = fleet.members["d1"]
-    fleet.start("d1", 2)  # the old process lives on somewhere, and is heard of no more
+    fleet.start("d1", 2)  # the old process still runs, but no message reaches it
     fleet.run(
         30_000, lambda: all(m.view.peers["d1"].boot_epoch == 2 for n, m in fleet.members.items() if n != "d1")
     )
@@ -110,12 +115,12 @@
     late = pr.Ping("d1", 1, (pr.Update("d1", ALIVE, 1, 99), pr.Update("d2", DEAD, 1, 99)))
     actions = fleet.members["d2"].view.handle(fleet.now, pr.RequestReceived(1, late))
     assert not actions and fleet.members["d2"].view.peers["d1"].boot_epoch == 2
-    told = pr.Ping("d2", 1, (pr.Update("d1", ALIVE, 2, 0),))
-    assert old.view.handle(fleet.now, pr.RequestReceived(1, told)) == [pr.Superseded(2)]
+    newer = pr.Ping("d2", 1, (pr.Update("d1", ALIVE, 2, 0),))
+    assert old.view.handle(fleet.now, pr.RequestReceived(1, newer)) == [pr.Superseded(2)]
     assert old.view.handle(fleet.now, pr.TimerDue(vw.NextProbe())) == []
 
 
-def test_one_that_leaves_in_order_is_known_to_have_left_and_is_not_suspected() -> None:
+def test_a_director_that_announces_its_leave_is_known_to_have_left_and_not_suspected() -> None:
     fleet = settled(Fleet(9))
     fleet._do("d4", fleet.members["d4"].view.handle(fleet.now, pr.Leave()))
     fleet.run(500)
@@ -146,7 +151,7 @@
     assert view.handle(fleet.now, pr.ResponseReceived(10**6, pr.Ack("d2", 1))) == []
 
 
-def test_a_changed_number_of_directors_by_new_settings_one_after_another() -> None:
+def test_directors_reconfigured_one_after_another_agree_on_the_new_fleet() -> None:
     fleet = settled(Fleet(5))
     new = frozenset(fleet.names[:4]) | {"d5"}
     fleet.names = sorted(new)
@@ -170,7 +175,7 @@
 
 
 def test_the_cost_of_one_director_does_not_grow_with_the_fleet() -> None:
-    """Messages and bytes a second of the busiest director, while a death is found out and told."""
+    """Messages and bytes a second of the busiest director, while a death is detected and spread."""
     cost = Cost()
     for count in (9, 100):
         fleet = settled(Fleet(count))
@@ -200,7 +205,7 @@
     assert one.wire == same.wire != other.wire
 
 
-def test_an_unlucky_order_of_updates_ends_in_the_same_belief() -> None:
+def test_every_order_of_updates_ends_in_the_same_belief() -> None:
     updates = [
         pr.Update("d1", state, run, inc, "d2")
         for run in (1, 2)
@@ -218,35 +223,35 @@
     assert ends == {(2, 1, DEAD)}
 
 
-def told(view: pr.Peers, now: float, *updates: pr.Update, sender: str = "d2") -> list[pr.Action]:
+def send_updates(view: pr.Peers, now: float, *updates: pr.Update, sender: str = "d2") -> list[pr.Action]:
     return view.handle(now, pr.RequestReceived(1, pr.Ping(sender, 1, updates)))
 
 
-def test_the_more_agree_the_sooner_a_suspicion_is_believed() -> None:
+def test_the_more_directors_agree_the_sooner_a_suspicion_becomes_a_death() -> None:
     """By published Lifeguard: from four periods where three agree to sixteen where nobody does."""
     for confirmers, waits in ((0, 8_000.0), (3, 2_000.0)):
         view = pr.Peers("d0", 1, [f"d{k}" for k in range(6)], 1)
-        told(view, 1.0, pr.Update("d1", ALIVE, 1, 0))
-        told(view, 1.0, pr.Update("d1", SUSPECTED, 1, 0, "d2"))
+        send_updates(view, 1.0, pr.Update("d1", ALIVE, 1, 0))
+        send_updates(view, 1.0, pr.Update("d1", SUSPECTED, 1, 0, "d2"))
         for k in range(confirmers):
-            told(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender=f"d{k + 3}")
-            again = told(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender="d2")
-            assert [type(action) for action in again] == [pr.Reply]  # no second voice
-        lasting = pr.TimerDue(pr.SuspicionTimeout("d1", 1, 0))
-        view.handle(waits - 100.0, lasting)
+            send_updates(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender=f"d{k + 3}")
+            again = send_updates(view, 2.0, pr.Update("d1", SUSPECTED, 1, 0, f"d{k + 3}"), sender="d2")
+            assert [type(action) for action in again] == [pr.Reply]  # the same director counts once
+        timeout = pr.TimerDue(pr.SuspicionTimeout("d1", 1, 0))
+        view.handle(waits - 100.0, timeout)
         assert view.state("d1") is SUSPECTED
-        view.handle(waits + 100.0, lasting)
+        view.handle(waits + 100.0, timeout)
         assert view.state("d1") is DEAD
 
 
-def test_the_end_of_a_wait_that_was_refuted_starts_nothing() -> None:
+def test_the_timeout_of_a_refuted_suspicion_does_nothing() -> None:
     view = pr.Peers("d0", 1, ["d0", "d1", "d2"], 1)
-    told(view, 1.0, pr.Update("d1", SUSPECTED, 1, 0, "d2"))
-    told(view, 2.0, pr.Update("d1", ALIVE, 1, 1), pr.Update("d1", SUSPECTED, 1, 1, "d2"))
+    send_updates(view, 1.0, pr.Update("d1", SUSPECTED, 1, 0, "d2"))
+    send_updates(view, 2.0, pr.Update("d1", ALIVE, 1, 1), pr.Update("d1", SUSPECTED, 1, 1, "d2"))
     assert view.handle(3.0, pr.TimerDue(pr.SuspicionTimeout("d1", 1, 0))) == []
 
 
-def test_asks_on_behalf_of_others_are_bounded() -> None:
+def test_indirect_probes_are_bounded() -> None:
     view = pr.Peers("d0", 1, ["d0", "d1", "d2"], 1)
     for k in range(vw.MAX_INDIRECT_REQUESTS + 1):
         actions = view.handle(1.0, pr.RequestReceived(k, pr.PingFor("d2", 1, "d1")))
@@ -254,7 +259,7 @@
     assert view.sizes()["asks for others"] == vw.MAX_INDIRECT_REQUESTS
 
 
-def test_a_quiet_fleet_has_nothing_to_tell() -> None:
+def test_a_quiet_fleet_sends_no_updates() -> None:
     fleet = settled(Fleet(9))
     fleet.run(60_000)
     assert not any(member.view.sizes()["news"] for member in fleet.members.values())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,8 @@
-"""Zones: evidence told apart, plans that overload nobody, one plan a number whatever happens."""
+"""Zones: health from evidence, plans that overload no zone, one plan a number under every schedule.
+
+The failures guarded against: a zone is emptied because of faulty or old reports, a plan overloads its targets
+or empties every zone, and two plans have the same number.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +56,7 @@
     return evidence.assess(now)
 
 
-def test_a_zone_that_nobody_reaches_is_gone_and_one_heard_from_inside_is_cut() -> None:
+def test_an_unreachable_zone_is_gone_and_one_with_good_reports_from_inside_is_cut() -> None:
     outside = [report(zone, observations=sees({"n1"})) for zone in NAMES if zone != "n1"]
     assert judge(*outside)["n1"].health is ZoneHealth.GONE
     assert judge(*outside, report("n1"))["n1"].health is ZoneHealth.CUT
@@ -60,25 +64,25 @@
     assert judge(*outside)["n2"].health is ZoneHealth.FINE
 
 
-def test_one_place_is_one_voice_however_many_directors_it_has() -> None:
+def test_each_place_counts_once_however_many_directors_it_has() -> None:
     many = [report("s1", k, observations=sees({"n1"})) for k in range(50)]
     others = [report(zone) for zone in NAMES if zone not in ("n1", "s1")]
     assert judge(*many, *others)["n1"].health is ZoneHealth.FINE
 
 
 @pytest.mark.parametrize("more", [{"lag_ms": 5000.0}, {"reachable_share": 0.3}, {"at": -9000.0}])
-def test_a_sick_or_stale_observer_has_no_voice(more: dict[str, Any]) -> None:
+def test_reports_that_are_faulty_or_old_are_ignored(more: dict[str, Any]) -> None:
     sick = [report(zone, 0, observations=sees({"n1"}), **more) for zone in ("s1", "s2", "w1")]
     assert judge(*sick, report("n2"), report("w2"))["n1"].health is ZoneHealth.FINE
 
 
-def test_a_lying_observer_that_sees_all_others_broken_has_no_voice() -> None:
+def test_reports_of_the_only_director_that_sees_all_zones_broken_are_ignored() -> None:
     liar = report("s1", observations=sees(set(NAMES) - {"s1"}))
     found = judge(liar, *(report(zone) for zone in ("n1", "w1")))
     assert all(judgement.health is ZoneHealth.FINE for judgement in found.values())
 
 
-def test_load_is_told_from_failure() -> None:
+def test_overload_is_distinguished_from_failure() -> None:
     full = ZoneObservation(4, delivered=0.7, gives=1000.0, asked=1000.0)
     weak = ZoneObservation(4, delivered=0.7, gives=1000.0, asked=400.0)
     slow = ZoneObservation(4, slow=3, gives=1000.0, asked=400.0)
@@ -87,7 +91,7 @@
         assert found["n1"].health is verdict
 
 
-def test_an_old_or_replayed_report_undoes_nothing_and_tables_are_bounded() -> None:
+def test_an_old_or_replayed_report_changes_nothing_and_tables_are_bounded() -> None:
     evidence = Evidence(NAMES)
     new = report("s1", boot_epoch=2, at=2000.0)
     evidence.add(new)
@@ -101,7 +105,7 @@
     assert len(evidence) == 0
 
 
-def test_nothing_heard_is_unknown() -> None:
+def test_without_reports_health_is_unknown() -> None:
     assert {j.health for j in judge().values()} == {ZoneHealth.UNKNOWN}
 
 
@@ -111,7 +115,7 @@
 
 
 def after(planner: Planner, judged: dict[str, ZoneAssessment], plan: Plan, begin: float, ms: float) -> Plan:
-    """Look every 500 ms."""
+    """Make a plan every 500 ms."""
     now = begin
     while now <= begin + ms:
         plan = planner.next(now, judged, plan) or plan
@@ -135,7 +139,7 @@
     assert planner.next(5000.0, judged, plan) is None  # nothing new is no plan
 
 
-def test_a_weak_zone_leans_by_what_it_cannot_carry() -> None:
+def test_a_weak_zone_sends_away_what_it_cannot_serve() -> None:
     planner = Planner(dict(ZONES))
     weak = ZoneAssessment(ZoneHealth.WEAK, 0.5, 1000.0, 500.0, 900.0)
     plan = after(planner, {**dict.fromkeys(NAMES, FINE), "s1": weak}, Plan(), 0.0, 2000.0)
@@ -143,7 +147,7 @@
     assert list(plan.for_zone("s1").to) == ["s2", "n1"]
 
 
-def test_a_zone_that_is_cut_off_serves_its_own_and_nobody_else_s() -> None:
+def test_a_zone_that_is_cut_off_serves_its_own_viewers_only() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
     plan = after(planner, {**fine, "n1": replace(FINE, health=ZoneHealth.CUT)}, Plan(), 0.0, 2000.0)
@@ -154,7 +158,7 @@
     assert after(planner, fine, plan, 3000.0, STEADY_MS + 1000.0).for_zone("n1").state is ZoneState.NEAR
 
 
-def test_shares_leave_emptied_zones_and_hardly_touch_the_rest() -> None:
+def test_shares_avoid_emptied_zones_and_keep_a_tiny_share_for_the_rest() -> None:
     assert shares_of(Plan(), "n1", NAMES) == ()
     plan = Plan(1, {"n1": ZonePlan(ZoneState.EMPTIED, 0.9, {"n2": 0.8, "s1": 0.1})})
     own = dict(zip(NAMES, shares_of(plan, "n1", NAMES), strict=True))
@@ -163,7 +167,7 @@
     assert shares_of(full, "n1", NAMES)[0] == 1.0
 
 
-def test_at_95_in_a_hundred_nothing_has_room_and_nothing_moves() -> None:
+def test_at_95_percent_load_no_zone_has_capacity_and_nothing_moves() -> None:
     planner = Planner(dict(ZONES))
     busy = ZoneAssessment(ZoneHealth.FINE, 1.0, 1000.0, 950.0, 950.0)
     plan = after(
@@ -186,7 +190,7 @@
     assert sum(plan.for_zone(z).state is ZoneState.EMPTIED for z in NAMES) == 5
 
 
-def test_a_zone_returns_by_steps_after_it_was_steady() -> None:
+def test_a_zone_returns_step_by_step_after_it_was_steady() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
     plan = after(planner, {**fine, "n1": GONE}, Plan(), 0.0, 2000.0)
@@ -232,7 +236,7 @@
     assert waits == sorted(waits) and waits[-1] > 3 * waits[0]
 
 
-def test_an_operator_s_order_goes_before_evidence_and_is_over_after_a_day() -> None:
+def test_an_operator_s_order_overrides_health_and_expires_after_a_day() -> None:
     planner = Planner(dict(ZONES))
     fine = dict.fromkeys(NAMES, FINE)
     planner.order(0.0, "s2", OperatorOrder.EMPTY)
@@ -293,7 +297,7 @@
 
 
 # ---- In common --------------------------------------------------------------------------------------------
-def test_all_follow_one_plan_soon_after_a_zone_is_lost_and_return_after_it_is_back() -> None:
+def test_all_directors_apply_one_plan_soon_after_a_zone_is_lost_and_after_its_return() -> None:
     fleet = Fleet(1)
     fleet.run(5000.0)
     fleet.dead_zones = {"n1"}
@@ -306,7 +310,7 @@
     assert all(len(texts) == 1 for texts in fleet.by_number.values())
 
 
-def test_a_region_lost_with_the_first_maker_in_it_has_its_plan_made_by_another() -> None:
+def test_after_the_loss_of_a_region_with_the_proposer_another_planner_proposes() -> None:
     fleet = Fleet(2)
     fleet.run(5000.0)
     fleet.dead_zones = {"n1", "n2"}
@@ -320,7 +324,7 @@
     assert fleet.all_follow("n1", ZoneState.EMPTIED) and fleet.all_follow("n2", ZoneState.EMPTIED)
 
 
-def test_makers_split_two_to_two_to_one_make_no_plan_and_all_go_by_their_own_sight() -> None:
+def test_without_a_majority_of_planners_no_plan_is_made_and_the_old_one_is_suspended() -> None:
     fleet = Fleet(3)
     fleet.run(3000.0)
     fleet.dead_zones = {"w2"}
@@ -337,7 +341,7 @@
     assert not any(fleet.members[name].fallen_back for name in fleet.up)
 
 
-def test_an_old_plan_that_arrives_late_is_passed_over() -> None:
+def test_an_old_plan_that_arrives_late_is_ignored() -> None:
     fleet = Fleet(4, loss=0.0)
     fleet.run(1000.0)
     member = fleet.members["s1-1"]
@@ -351,7 +355,7 @@
 
 @pytest.mark.parametrize("part", range(8))
 def test_one_plan_a_number_in_two_thousand_schedules(part: int) -> None:
-    """Loss, doubled and late messages, cuts each way, deaths and restarts of anyone, zones lost and back."""
+    """Lost, duplicated and late messages, partitions, deaths and restarts, zones lost and back."""
     numbers = 0
     for seed in range(part * SCHEDULES, (part + 1) * SCHEDULES):
         fleet = anything(seed)
@@ -360,23 +364,23 @@
     assert numbers > SCHEDULES / 3  # and there is something to disagree on
 
 
-class Deaf(Proposer):
-    """Puts its own value whatever is held."""
+class IgnoresAcceptedValues(Proposer):
+    """Writes its own value whatever is found."""
 
     def _write(self, number, change):  # type: ignore[no-untyped-def]
         change.promises = {n: Promise(p.key, p.ballot) for n, p in change.promises.items()}
         return super()._write(number, change)
 
 
-class Alone(Proposer):
-    """One holder is enough for it."""
+class AcceptsAnyMinority(Proposer):
+    """One replica counts as a majority."""
 
     def _majority(self, change, names):  # type: ignore[no-untyped-def]
         return len(names) >= 1
 
 
-class Forward(ag.PlanAgreement):
-    """Follows its own plan before it is agreed on."""
+class AppliesBeforeDecided(ag.PlanAgreement):
+    """Applies its own plan before it is decided."""
 
     def _propose(self, now, plan):  # type: ignore[no-untyped-def]
         return [*super()._propose(now, plan), *self._receive(now, plan)]
@@ -384,8 +388,12 @@
 
 @pytest.mark.parametrize(
     "off",
-    [{"make_registers": Deaf}, {"make_registers": Alone}, {"make_common": Forward}],
+    [
+        {"make_proposer": IgnoresAcceptedValues},
+        {"make_proposer": AcceptsAnyMinority},
+        {"make_agreement": AppliesBeforeDecided},
+    ],
     ids=lambda o: str(o),
 )
-def test_each_guard_switched_off_lets_two_plans_have_one_number(off: dict[str, type]) -> None:
+def test_without_each_safety_rule_two_plans_have_one_number(off: dict[str, type]) -> None:
     assert any(broken(anything(seed, **off)) for seed in range(4000))
--- a/tests/zones_world.py
+++ b/tests/zones_world.py
@@ -1,4 +1,4 @@
-"""Directors in zones, a group of makers, and what they say to each other, in virtual time with faults."""
+"""Directors in zones, a group of planners, and their messages, in virtual time with faults."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @dataclass
 class Fleet:
-    """`each` directors a zone; the makers are the first ones of some zones."""
+    """`each` directors a zone; the planners are the first director of some zones."""
 
     seed: int
     each: int = 2
     zones: dict[str, str] = field(default_factory=lambda: dict(ZONES))
-    makers_in: tuple[str, ...] = ("n1", "n2", "s1", "s2", "w1")
+    planners_in: tuple[str, ...] = ("n1", "n2", "s1", "s2", "w1")
     loss: float = 0.02
-    make_registers: type[Proposer] = Proposer
-    make_common: type[ag.PlanAgreement] = ag.PlanAgreement
+    make_proposer: type[Proposer] = Proposer
+    make_agreement: type[ag.PlanAgreement] = ag.PlanAgreement
     now: float = 0.0
     dead_zones: set[str] = field(default_factory=set)
     weak: dict[str, float] = field(default_factory=dict)  # zones and what they deliver
@@ -44,8 +44,8 @@
         self.random = random.Random(self.seed)
         self.zone_of = {f"{zone}-{k}": zone for zone in self.zones for k in range(self.each)}
         self.names = list(self.zone_of)
-        self.makers = tuple(f"{zone}-0" for zone in self.makers_in)
-        self.disks: dict[str, dict[str, Record]] = {maker: {} for maker in self.makers}
+        self.planners = tuple(f"{zone}-0" for zone in self.planners_in)
+        self.disks: dict[str, dict[str, Record]] = {planner_name: {} for planner_name in self.planners}
         self.replicas: dict[str, Replica] = {}
         self.runs = dict.fromkeys(self.names, 0)
         self.members: dict[str, ag.PlanAgreement] = {}
@@ -57,11 +57,11 @@
     def start(self, name: str) -> None:
         self.runs[name] += 1
         self.up.add(name)
-        registers = self.make_registers(f"{name}.{self.runs[name]}", self.seed)
+        registers = self.make_proposer(f"{name}.{self.runs[name]}", self.seed)
         planner, evidence = Planner(dict(self.zones)), Evidence(tuple(self.zones))
-        made = self.make_common(name, self.makers, planner, evidence, registers, self.seed)
+        made = self.make_agreement(name, self.planners, planner, evidence, registers, self.seed)
         self.members[name] = made
-        if name in self.makers:
+        if name in self.planners:
             self.replicas[name] = Replica(ag.REGISTER_END_UNIX_MS, 1000, 0, dict(self.disks[name]))
         self.followed[name] = Plan()
         self.do(name, made, made.start(self.now))
@@ -145,8 +145,8 @@
                 event = ag.RegisterProgress(rg.ResponseReceived(send.request_id, message))
                 self.send(send.to, name, lambda: self.tell(name, member, event))
 
-    # ---- What directors see -------------------------------------------------------------------------------
-    def sight(self, name: str, zone: str) -> ZoneObservation:
+    # ---- Observations -------------------------------------------------------------------------------------
+    def observation(self, name: str, zone: str) -> ZoneObservation:
         home = self.zone_of[name]
         unreached = (home, zone) in self.cut or zone in self.dead_zones
         delivered = self.weak.get(zone, 1.0)
@@ -155,7 +155,7 @@
         return ZoneObservation(4, 0, silent, 0, delivered, GIVES, DEMAND * self.load, demand)
 
     def report(self, name: str, member: ag.PlanAgreement) -> None:
-        """Every second to all makers that can be reached; a stand-in for what wiring will do."""
+        """Report every second to all reachable planners, as the cluster service does."""
         if self.members[name] is not member or name not in self.up:
             return
         there = frozenset(
@@ -165,11 +165,11 @@
         )
         self.tell(name, member, ag.MembershipChanged(there))
         heard = len(there) / len(self.names)
-        sights = {zone: self.sight(name, zone) for zone in self.zones}
-        for maker in self.makers:
+        sights = {zone: self.observation(name, zone) for zone in self.zones}
+        for to in self.planners:
             made = Report(name, self.runs[name], self.zone_of[name], self.now, 0.0, heard, sights)
             heard_event = ag.ReportReceived(made)
-            self.send(name, maker, lambda m=maker, e=heard_event: self.tell(m, self.members[m], e))  # type: ignore[misc]
+            self.send(name, to, lambda m=to, e=heard_event: self.tell(m, self.members[m], e))  # type: ignore[misc]
         self.later(1000.0, lambda: self.report(name, member))
 
     def all_follow(self, zone: str, state: object, without: set[str] | None = None) -> bool:
@@ -178,10 +178,10 @@
 
 
 def anything(seed: int, **more: type) -> Fleet:
-    """Three zones of one director each, all makers: loss, cuts, deaths, restarts, zones lost and back."""
+    """Three zones of one director each, all planners, under random faults."""
     chance = random.Random(f"zones {seed}")
     zones = {"a": "x", "b": "y", "c": "z"}
-    fleet = Fleet(seed, each=1, zones=zones, makers_in=("a", "b", "c"), loss=0.1, **more)  # type: ignore[arg-type]
+    fleet = Fleet(seed, each=1, zones=zones, planners_in=("a", "b", "c"), loss=0.1, **more)  # type: ignore[arg-type]
     for _ in range(8):
         what = chance.randrange(5)
         zone, other = chance.choice("abc"), chance.choice("abc")
