--- a/foxlift/director/cluster/client.py
+++ b/foxlift/director/cluster/client.py
@@ -39,9 +39,7 @@
         decode: Callable[[bytes], T],
         done: Callable[[T | None], None],
     ) -> None:
-        """Send a request. `done(None)`: no response, or one that `decode` cannot read (it raises
-        MsgspecError).
-        """
+        """Send a request. `done(None)`: no response, or `decode` cannot read it (raises MsgspecError)."""
 
         def finished(result: Response | Failure) -> None:
             response: T | None = None
--- a/foxlift/director/cluster/forwarding.py
+++ b/foxlift/director/cluster/forwarding.py
@@ -64,7 +64,7 @@
         self._boxes = boxes
 
     def come_back_ms(self) -> float:
-        """How long a viewer waits before it comes back where nobody can answer now; random for each."""
+        """How long a viewer waits where nobody can answer now; random for each."""
         return self._routes.come_back_ms()
 
     # ---- Requests -----------------------------------------------------------------------------------------
@@ -73,9 +73,7 @@
         self._handle(route.RouteRequested(request, claim, hint, forwarded))
 
     def resolve_own(self, request: int, token: str, expires: int, forwarded: bool) -> None:
-        """A request whose token's set-up may have run here: ask the register whether this director still owns
-        it.
-        """
+        """A request whose token may have been set up here: ask its register for the present owner."""
 
         def tell(verdict: RouteOutcome) -> None:
             self._tell(route.Resolved(request, verdict, self.come_back_ms()))
