--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -164,11 +164,11 @@
         self._now, self._actions = now, []
         match event:
             case ev.ServerMessageReceived():
-                self._server_message(event)
+                self._handle_server_message(event)
             case ev.ViewerMessageReceived():
-                self._viewer_message(event)
+                self._handle_viewer_message(event)
             case ev.AttemptTimedOut(number, attempt):
-                self._attempt_due(number, attempt)
+                self._attempt_timed_out(number, attempt)
             case fl.Wake():
                 self._notify_module(event)
             case ev.ViewerDisconnected(conn):
@@ -221,7 +221,7 @@
         return session if session.node == node and not session.server_conn else None
 
     # ---- Viewers -------------------------------------------------------------------------------------------
-    def _viewer_message(self, event: ev.ViewerMessageReceived) -> None:
+    def _handle_viewer_message(self, event: ev.ViewerMessageReceived) -> None:
         conn, message = event.conn, event.message
         match message:
             case viewers.Start():
@@ -278,12 +278,16 @@
         self._open_by_conn.setdefault(conn, set()).add(session.number)
         self._actions.append(ev.ChangeViewerSessions(conn, 1))
         self.counts["asked"] += 1
-        self._write(self.viewer_releases.session_requested(self._now, conn))
+        self._send_releases(self.viewer_releases.session_requested(self._now, conn))
         self._notify_module(
-            self._ask(session.number, start, klass, tenant, max(start.remaining_ms - waited_ms, 0.0))
+            self._module_request(
+                session.number, start, klass, tenant, max(start.remaining_ms - waited_ms, 0.0)
+            )
         )
 
-    def _ask(self, number: int, start: viewers.Start, klass: int, tenant: int, ttl_ms: float) -> fl.Ask:
+    def _module_request(
+        self, number: int, start: viewers.Start, klass: int, tenant: int, ttl_ms: float
+    ) -> fl.Ask:
         rungs = len(self.settings.ladder_kb)
         return fl.Ask(
             session=number,
@@ -306,14 +310,14 @@
                 return
             self._handovers[start.tag] = conn, start
             self._actions.append(ev.StartTimer(HANDOVER_TIMEOUT_MS, ev.HandoverTimedOut(start.tag)))
-            self._write(self.viewer_releases.session_requested(self._now, conn))
+            self._send_releases(self.viewer_releases.session_requested(self._now, conn))
             return
         recorded_end = self.session_endings.find_end(self._now, start.tag, node)
         if recorded_end is not None:
             source, cause = recorded_end
             self.counts["handed over after its end"] += 1
             if source is EndSource.SERVER:
-                self._write(self.viewer_releases.session_requested(self._now, conn))
+                self._send_releases(self.viewer_releases.session_requested(self._now, conn))
                 self._release_viewer(conn, start.tag, viewers.finish(start.tag, cause))
             elif source is EndSource.VIEWER:
                 self._send_release(node, 0, start.tag, rtsp.release(start.tag, cause))
@@ -326,11 +330,11 @@
         session.playing_since = self._now
         self.sessions[session.number] = self._by_tag[start.tag] = session
         self.counts["handed over"] += 1
-        self._write(self.viewer_releases.session_started(self._now, conn))
+        self._send_releases(self.viewer_releases.session_started(self._now, conn))
         self._actions.append(ev.ChangeViewerSessions(conn, 1))
         self._attempt(at.Resume(session.number, node, session.rung))
         self._session_started(session.number, node)
-        self._notify_module(fl.Resumed(self._ask(session.number, start, klass, tenant, 0.0), node))
+        self._notify_module(fl.Resumed(self._module_request(session.number, start, klass, tenant, 0.0), node))
 
     def _finish(self, conn: int, tag: str, cause: int) -> None:
         session = self._by_tag.get(tag)
@@ -378,7 +382,7 @@
             if session is not None:
                 self.counts["left with its connection"] += 1
                 self._withdraw(session)
-        self._write(self.viewer_releases.connection_closed(self._now, conn))
+        self._send_releases(self.viewer_releases.connection_closed(self._now, conn))
 
     def _request_answered(self, session: _Session) -> None:
         """Remove the set-up from the open ones: it has its one answer or needs none."""
@@ -418,9 +422,9 @@
                 until = self._now + within_ms
                 self._attempt(at.Send(number, attempt, node, session.rung, False, until))
             case fl.Refuse(number, come_back_ms):
-                self._reject_final(number, REFUSED, come_back_ms)
+                self._answer_without_session(number, REFUSED, come_back_ms)
             case fl.Fail(number):
-                self._reject_final(number, FAILED, 0.0)
+                self._answer_without_session(number, FAILED, 0.0)
             case fl.SetTimer(delay_ms, token):
                 self._actions.append(ev.StartTimer(delay_ms, fl.Wake(token)))
             case fl.Cancel(number):
@@ -438,7 +442,7 @@
             case fl.Probe():
                 self.counts["probe not offered"] += 1
 
-    def _reject_final(self, number: int, cause: int, wait_ms: float) -> None:
+    def _answer_without_session(self, number: int, cause: int, wait_ms: float) -> None:
         session = self.sessions.get(number)
         if session is None or session.state is not _State.REQUESTED:
             return
@@ -456,13 +460,13 @@
                     delay = max(until - self._now, 0.0)
                     self._actions.append(ev.StartTimer(delay, ev.AttemptTimedOut(number, attempt)))
                 case at.AbortSetUp(number, _, if_unsent):
-                    self._abort(number, if_unsent)
+                    self._abort_setup(number, if_unsent)
                 case at.SendRung(number, _, node, rung):
                     session = self.sessions[number]
                     data = rtsp.set_rung(session.tag, rung)
                     self._actions.append(ev.SendToServer(node, session.server_conn, data))
                 case at.Release(set_up, node):
-                    self._release(set_up, node)
+                    self._release_attempt(set_up, node)
                 case at.ReportStarted(number, attempt, node):
                     session = self.sessions[number]
                     elapsed = self._now - session.sent_at
@@ -471,24 +475,24 @@
                 case at.ReportEnded():
                     self._attempt_ended(action)
                 case at.WriteIntent():
-                    raise AssertionError("a platform director keeps no record of intents")
+                    raise AssertionError("a platform director keeps no log of intents")
 
-    def _abort(self, number: int, if_unsent: bool) -> None:
+    def _abort_setup(self, number: int, if_unsent: bool) -> None:
         session = self.sessions[number]
         if session.server_conn and if_unsent:
             return
         self._attempt_lost(number, at.CallFailure.CANCELLED)
 
-    def _attempt_lost(self, number: int, loss: at.CallFailure) -> None:
+    def _attempt_lost(self, number: int, failure: at.CallFailure) -> None:
         """The current attempt has failed without an answer."""
         session = self.sessions.get(number)
         if session is None or not self.attempts.has_attempt(number) or session.state is _State.PLAYING:
             return
         if not session.server_conn:
             self._actions.append(ev.CancelSetup(number, session.node))
-        self._attempt(at.CallFailed(number, session.attempts - 1, loss, sent=session.server_conn != 0))
+        self._attempt(at.CallFailed(number, session.attempts - 1, failure, sent=session.server_conn != 0))
 
-    def _attempt_due(self, number: int, attempt: int) -> None:
+    def _attempt_timed_out(self, number: int, attempt: int) -> None:
         session = self.sessions.get(number)
         if session is None or session.attempts - 1 != attempt or session.state is _State.PLAYING:
             return
@@ -499,7 +503,7 @@
                 number, at.CallFailure.TIMEOUT if session.server_conn else at.CallFailure.CONNECT
             )
 
-    def _release(self, set_up: str, node: int) -> None:
+    def _release_attempt(self, set_up: str, node: int) -> None:
         """Release what the server may run for this attempt."""
         own = self.attempts.attempt_of(set_up)
         session = None if own is None else self.sessions.get(own[0])
@@ -546,9 +550,9 @@
 
     def _release_viewer(self, conn: int, tag: str, data: bytes) -> None:
         """Send the viewer the release of an ended session."""
-        self._write(self.viewer_releases.add(self._now, conn, tag, data))
+        self._send_releases(self.viewer_releases.add(self._now, conn, tag, data))
 
-    def _write(self, writes: list[Write]) -> None:
+    def _send_releases(self, writes: list[Write]) -> None:
         self._actions += [ev.SendToViewer(write.conn, write.data) for write in writes]
 
     def _session_started(self, number: int, node: int) -> None:
@@ -562,7 +566,7 @@
         if not numbers:
             del self._playing[node]
             if node not in self._servers:
-                self._release_address(node)
+                self._forget_address(node)
         self._actions.append(ev.SetSessionCount(node, len(numbers)))
 
     def _setup_finished(self, session: _Session) -> None:
@@ -575,7 +579,7 @@
                 del self._in_flight_on[key]
 
     # ---- Servers -------------------------------------------------------------------------------------------
-    def _server_message(self, event: ev.ServerMessageReceived) -> None:
+    def _handle_server_message(self, event: ev.ServerMessageReceived) -> None:
         message, node = event.message, event.node
         session = self._by_tag.get(message.session)
         if isinstance(message, rtsp.Response):
@@ -645,7 +649,7 @@
         self._setup_finished(session)
         self._request_answered(session)
         self._actions.append(ev.SendToViewer(session.conn, viewers.started(session.tag, description)))
-        self._write(self.viewer_releases.session_started(self._now, session.conn))
+        self._send_releases(self.viewer_releases.session_started(self._now, session.conn))
         self._actions.append(ev.SetupFinished(event.node, event.conn))
         self._attempt(at.Answered(number, attempt, True, fl.Outcome.OK, load=load))
 
@@ -659,20 +663,20 @@
             name, _, value = part.partition(":")
             if name in self._columns:
                 try:
-                    figure = float(value)
+                    load = float(value)
                 except ValueError:
                     continue
-                if 0 <= figure < float("inf"):
-                    named[LOAD_FIELDS[name]] = figure
+                if 0 <= load < float("inf"):
+                    named[LOAD_FIELDS[name]] = load
         return fl.Load(**named) if named else None
 
     def _server_connection_lost(self, node: int, conn: int, corrupt: bool) -> None:
-        loss = at.CallFailure.UNREADABLE if corrupt else at.CallFailure.RESET
+        failure = at.CallFailure.UNREADABLE if corrupt else at.CallFailure.RESET
         for number in sorted(self._in_flight_on.pop((node, conn), ())):
             session = self.sessions.get(number)
             if session is not None:
                 session.server_conn = -1  # it was sent, and its connection has closed
-                self._attempt_lost(number, loss)
+                self._attempt_lost(number, failure)
         self._actions += [
             ev.SendToServer(node, 0, data) for data in self.session_endings.connection_lost(self._now, node)
         ]
@@ -681,17 +685,17 @@
     def _list_updated(self, update: ListUpdate) -> None:
         kind = fl.ListKind.FULL if update.full else fl.ListKind.DELTA
         self.list_received |= update.full
-        closed: list[tuple[int, bool]] = []
+        unavailable: list[tuple[int, bool]] = []
         restarted: list[int] = []
         displaced: list[int] = []
         infos = [server.info for server in update.servers]
         if update.full:
             named = {server.info.node for server in update.servers}
-            closed += [(node, True) for node in sorted(self._servers) if node not in named]
+            unavailable += [(node, True) for node in sorted(self._servers) if node not in named]
         for server in update.servers:
             info = server.info
             if info.status is fl.Status.GONE:
-                closed.append((info.node, True))
+                unavailable.append((info.node, True))
                 continue
             previous = self._servers.get(info.node)  # None also if it was unlisted for a moment only
             if info.started_ms > (previous.started_ms if previous is not None else 0.0):
@@ -702,30 +706,30 @@
                 displaced.append(other)
                 if other in self._servers:
                     infos.append(replace(self._servers[other], status=fl.Status.GONE))
-                    closed.append((other, True))
-            self._release_address(info.node)
+                    unavailable.append((other, True))
+            self._forget_address(info.node)
             self._servers[info.node], self._addresses[info.node] = info, server.address
             self._node_at[server.address] = info.node
             self._actions.append(ev.AddServer(info.node, server.address))
             if info.status is fl.Status.DRAINING:
-                closed.append((info.node, False))
+                unavailable.append((info.node, False))
             else:
                 self._attempt(at.BoxReady(info.node))
-        for node, is_gone in closed:
+        for node, is_gone in unavailable:
             if is_gone:
                 self._servers.pop(node, None)
                 if node not in self._playing:
-                    self._release_address(node)
+                    self._forget_address(node)
                 self.session_endings.server_removed(node)
                 self._actions.append(ev.RemoveServer(node))
         # the module first: attempts stopped below may be placed again at once, not at a draining server
         self._notify_module(fl.NodeList(kind, tuple(infos)))
-        for node, is_gone in closed:
+        for node, is_gone in unavailable:
             self._attempt(at.BoxDraining(node, is_gone))
         for node in restarted:
             self._server_restarted(node)
         for node in displaced:
-            self._release_address(node)
+            self._forget_address(node)
             self.counts["box lost, address taken"] += 1
             self._attempt(at.BoxLost(node))
         for tag, (conn, start) in list(self._handovers.items()):
@@ -733,7 +737,7 @@
                 del self._handovers[tag]
                 self._hand_over(conn, start, start.plays_at)
 
-    def _release_address(self, node: int) -> None:
+    def _forget_address(self, node: int) -> None:
         """Remove the address of a server."""
         address = self._addresses.pop(node, None)
         if address is not None and self._node_at.get(address) == node:
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -16,7 +16,7 @@
 from platform_world import config
 from sockets import World as Sockets
 from sockets import run
-from test_platform_core import World, at_line, name
+from test_platform_core import World, handover_line, name
 
 from foxlift import interface as fl
 from foxlift.decide.driver import FAULT_LOG_INTERVAL_MS, Driver
@@ -88,15 +88,15 @@
 
 def answers(world: World, tag: str) -> list[tuple[str, int | None]]:
     """What a viewer was told of its request, whichever end of it."""
-    return [(m["verb"], m.get("rc")) for _, m in world.sent if m["tag"] == tag]
+    return [(m["verb"], m.get("rc")) for _, m in world.sent_to_viewers if m["tag"] == tag]
 
 
 def leave_all(world: World) -> None:
     """Boxes start what comes, until nothing is asked for any more."""
     for _ in range(20):
-        for node, conn, data in world.leave():
+        for node, conn, data in world.connect_waiting():
             tag = data.split(b"Session: ")[1][:16].decode()
-            world.box(node, conn, rtsp_answer(200, tag, b"there\r\n"))
+            world.receive_from_server(node, conn, rtsp_answer(200, tag, b"there\r\n"))
         if not world.core.unanswered:
             return
         world.pass_time(100)
@@ -111,10 +111,10 @@
 def nothing_is_left(world: World) -> None:
     """All that stands is ended by its viewers: no table, seat or rate keeps anything."""
     for session in list(world.core.sessions.values()):
-        world.viewer(finish_line(session.tag))
+        world.receive_from_viewer(finish_line(session.tag))
     world.pass_time(10000)
     for conn in range(20):
-        world.tell(ev.ViewerDisconnected(conn))
+        world.handle(ev.ViewerDisconnected(conn))
     sizes = world.core.table_sizes()
     del sizes["boxes"], sizes["module boxes"], sizes["ghosts"]
     assert not any(sizes.values()), sizes
@@ -133,32 +133,36 @@
 ) -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    node, conn = world.stand(name(1), klass)
+    node, conn = world.start_session(name(1), klass)
     module.sick = sick = Sick(kind)
     module.when = when
     # a refusal of a box, a note, a list, a hand-over, one that leaves, one that ends, one held, one more
-    world.viewer(start_line(name(2), klass))
-    for box, out, _ in world.leave():
-        world.box(box, out, rtsp_answer(453, name(2), more="Link-State: x0:0.5\r\n"))
-    world.box(node, conn, rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n"))
+    world.receive_from_viewer(start_line(name(2), klass))
+    for box, out, _ in world.connect_waiting():
+        world.receive_from_server(box, out, rtsp_answer(453, name(2), more="Link-State: x0:0.5\r\n"))
+    world.receive_from_server(
+        node, conn, rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n")
+    )
     lines = [
         ListedServer(box.info, Address("10.0.0.9", 1 + k))
         for k, box in enumerate(world.config.known[0].servers)
     ]
-    world.tell(ev.ListUpdated(ListUpdate(2, False, tuple(lines[:2]))))
-    world.viewer(at_line(name(3), node), 2)
-    world.viewer(start_line(name(4), klass))
-    world.viewer(finish_line(name(4)))
+    world.handle(ev.ListUpdated(ListUpdate(2, False, tuple(lines[:2]))))
+    world.receive_from_viewer(handover_line(name(3), node), 2)
+    world.receive_from_viewer(start_line(name(4), klass))
+    world.receive_from_viewer(finish_line(name(4)))
     leave_all(world)
     world.pass_time(2000)
-    world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5\r\n"))
-    world.viewer(start_line(name(5), klass))
+    world.receive_from_server(
+        node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5\r\n")
+    )
+    world.receive_from_viewer(start_line(name(5), klass))
     leave_all(world)
-    world.tell(ev.ListUpdated(ListUpdate(3, False, drain(world))))
-    world.viewer(start_line(name(7), klass))  # is held
+    world.handle(ev.ListUpdated(ListUpdate(3, False, drain(world))))
+    world.receive_from_viewer(start_line(name(7), klass))  # is held
     world.pass_time(100)
-    world.tell(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
-    world.viewer(start_line(name(6), klass))
+    world.handle(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
+    world.receive_from_viewer(start_line(name(6), klass))
     leave_all(world)
     assert not sick.left  # it was brought about
     assert answers(world, name(7)) in ([("STARTED", None)], [("FINISH", REFUSED)])
@@ -179,11 +183,11 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.sick, module.when = Sick(fl.Ended, times), when
-    world.viewer(start_line(name(1), klass))
-    [(node, conn, _)] = world.leave()
-    world.tell(ev.ServerConnectionLost(node, conn))  # reset under the request
+    world.receive_from_viewer(start_line(name(1), klass))
+    [(node, conn, _)] = world.connect_waiting()
+    world.handle(ev.ServerConnectionLost(node, conn))  # reset under the request
     assert answers(world, name(1)) == [("FINISH", cause)]
-    assert not world.leave()
+    assert not world.connect_waiting()
     if times == 1 or when == "placing":  # a module that cannot be told of ends for good keeps them
         nothing_is_left(world)
 
@@ -193,10 +197,10 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.sick, module.when = lambda event: isinstance(event, fl.Ask), when
-    world.viewer(start_line(name(1), "paid"))
-    assert answers(world, name(1)) == [("FINISH", REFUSED)] and not world.leave()
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    assert answers(world, name(1)) == [("FINISH", REFUSED)] and not world.connect_waiting()
     module.when = "never"
-    world.viewer(start_line(name(2), "paid"))
+    world.receive_from_viewer(start_line(name(2), "paid"))
     leave_all(world)
     assert answers(world, name(2)) == [("STARTED", None)]
     nothing_is_left(world)
@@ -207,9 +211,9 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.sick, module.when = lambda event: isinstance(event, fl.Ended), "raising"
-    world.viewer(start_line(name(1), "paid"))
-    [(node, conn, _)] = world.leave()
-    world.box(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    [(node, conn, _)] = world.connect_waiting()
+    world.receive_from_server(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
     leave_all(world)  # on to the next holder, as if the report had not come
     assert answers(world, name(1)) == [("STARTED", None)]
     assert world.core.counts["exceptions"] == 1
@@ -219,15 +223,15 @@
 def test_requests_that_are_held_are_answered_when_their_wake_raises_and_later_ones_wake() -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    world.tell(ev.ListUpdated(ListUpdate(2, False, drain(world))))
+    world.handle(ev.ListUpdated(ListUpdate(2, False, drain(world))))
     module.sick = Sick(fl.Wake)
     for n in (1, 2):
-        world.viewer(start_line(name(n), "paid"))
-    assert not world.sent
+        world.receive_from_viewer(start_line(name(n), "paid"))
+    assert not world.sent_to_viewers
     world.pass_time(60)
     assert [answers(world, name(n)) for n in (1, 2)] == [[("FINISH", REFUSED)]] * 2
-    world.viewer(start_line(name(3), "free"))
-    world.tell(ev.ListUpdated(ListUpdate(3, False, world.config.known[0].servers)))
+    world.receive_from_viewer(start_line(name(3), "free"))
+    world.handle(ev.ListUpdated(ListUpdate(3, False, world.config.known[0].servers)))
     world.pass_time(120)
     leave_all(world)
     assert answers(world, name(3)) == [("STARTED", None)]
@@ -242,7 +246,7 @@
     module.sick = lambda event: (
         isinstance(event, fl.NodeList) and any(line.node == bad for line in event.nodes)
     )
-    world.tell(ev.ListUpdated(ListUpdate(2, True, boxes[1:])))
+    world.handle(ev.ListUpdated(ListUpdate(2, True, boxes[1:])))
     assert set(module.nodes) == {box.info.node for box in boxes[1:]}
     assert boxes[0].info.node not in module.nodes  # a whole list leaves out those that are gone
 
@@ -281,8 +285,8 @@
         world.core._carry_out(action)
 
     world.core._driver._carry_out = carry_out
-    world.viewer(start_line(name(1), "paid"))
-    world.viewer(start_line(name(2), "free"))
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    world.receive_from_viewer(start_line(name(2), "free"))
     assert answers(world, name(1)) == [("FINISH", FAILED)]
     assert answers(world, name(2)) == [("FINISH", REFUSED)]
     nothing_is_left(world)
@@ -297,9 +301,9 @@
             raise Fault
 
     world.core._driver._carry_out = carry_out
-    world.viewer(start_line(name(1), "free"))
+    world.receive_from_viewer(start_line(name(1), "free"))
     assert answers(world, name(1)) == [("FINISH", REFUSED)]
-    assert not world.leave() and world.core.counts["attempts"] == 1
+    assert not world.connect_waiting() and world.core.counts["attempts"] == 1
     assert world.core.counts["exceptions"] == 1
     nothing_is_left(world)
 
@@ -308,13 +312,13 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.sick, module.when = Sick(fl.Ended), "after"
-    world.viewer(start_line(name(1), "paid"))
-    [(node, conn, _)] = world.leave()
-    world.box(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
-    [(node, conn, _)] = world.leave()  # the module had sent it on before it raised
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    [(node, conn, _)] = world.connect_waiting()
+    world.receive_from_server(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
+    [(node, conn, _)] = world.connect_waiting()  # the module had sent it on before it raised
     module.sick, module.when = Sick(fl.Wake), "before"
-    world.tell(fl.Wake(0))
-    world.box(node, conn, rtsp_answer(200, name(1), b"there\r\n"))
+    world.handle(fl.Wake(0))
+    world.receive_from_server(node, conn, rtsp_answer(200, name(1), b"there\r\n"))
     assert answers(world, name(1)) == [("STARTED", None)]
     nothing_is_left(world)
 
--- a/tests/test_platform_admission.py
+++ b/tests/test_platform_admission.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from test_platform_crossings import connected, lines_of, push, stands_still
-from test_platform_sockets import Scene, held, name, play, scene
+from test_platform_crossings import connected, lines_of, push, stall_loop
+from test_platform_sockets import Scene, client_connections, name, play, scene
 
 from foxlift.platform import descriptors
 from foxlift.platform.admission import FIRST_BYTE_GRACE_MS, MAX_OVERSHOOT, ConnectionAdmission
@@ -29,7 +29,7 @@
 
 
 # ---- Virtual time -----------------------------------------------------------------------------------------
-def test_a_new_connection_is_not_closed_for_the_next_while_a_quiet_one_is_there() -> None:
+def test_a_new_connection_is_not_evicted_for_the_next_while_there_is_an_idle_one() -> None:
     connections = admission(8, proven=8)
     connections.opened(10_000, 9)
     connections.opened(10_000.1, 10)
@@ -37,7 +37,7 @@
     assert {9, 10} <= set(connections.connections)
 
 
-def test_half_a_message_keeps_its_connection_while_a_quiet_one_is_there() -> None:
+def test_a_partial_message_keeps_its_connection_while_there_is_an_idle_one() -> None:
     connections = admission(8, proven=8)
     connections.received(9_000, 1, proven=False, partial=True)  # one that has been served before
     connections.opened(9_000, 9)
@@ -48,14 +48,14 @@
     assert connections.surplus(9_600) == [2, 3]
 
 
-def test_who_connects_and_says_nothing_gives_way_before_quiet_clients() -> None:
+def test_connections_without_bytes_are_evicted_before_idle_clients() -> None:
     connections = admission(4, proven=3)
     connections.opened(10_000, 4)
     connections.opened(10_000 + FIRST_BYTE_GRACE_MS, 5)
     assert connections.surplus(10_000 + FIRST_BYTE_GRACE_MS) == [4]
 
 
-def test_hundreds_of_silent_connections_take_each_others_places() -> None:
+def test_hundreds_of_connections_without_bytes_evict_each_other() -> None:
     """However many say nothing, three quarters of the places stay with those who have sent a request."""
     connections = admission(100, proven=100)
     closed: list[int] = []
@@ -66,7 +66,7 @@
     assert len(connections.connections) == 100
 
 
-def test_hundreds_of_half_messages_take_each_others_places() -> None:
+def test_hundreds_of_partial_messages_evict_each_other() -> None:
     connections = admission(100, proven=100)
     closed: list[int] = []
     for k in range(500):
@@ -76,7 +76,7 @@
     assert sum(1 for conn in closed if conn < 1000) == 25
 
 
-def test_connections_with_sessions_are_never_closed_for_another() -> None:
+def test_connections_with_sessions_are_never_evicted() -> None:
     connections = admission(4, proven=4)
     for conn in range(1, 5):
         connections.sessions_changed(conn, 1)
@@ -87,7 +87,7 @@
     assert connections.surplus(10_001) == [2]
 
 
-def test_a_served_client_with_half_a_message_goes_before_the_newcomer_is_turned_away() -> None:
+def test_a_proven_client_with_a_partial_message_is_evicted_before_the_newcomer() -> None:
     connections = admission(2, proven=2)
     connections.sessions_changed(1, 1)
     connections.received(10_000, 2, proven=False, partial=True)
@@ -97,17 +97,17 @@
     assert connections.surplus(10_002) == [2]
 
 
-def test_connections_over_the_bound_before_the_next_look_at_sockets_are_few() -> None:
+def test_few_connections_exceed_the_bound_until_all_sockets_are_read() -> None:
     connections = admission(8, proven=8)
-    at_once = [connections.opened(10_000, 100 + k) for k in range(200)]
-    assert all(closed is None for closed in at_once[:MAX_OVERSHOOT])
-    assert all(closed is not None for closed in at_once[MAX_OVERSHOOT:])
+    skip_arrival_window = [connections.opened(10_000, 100 + k) for k in range(200)]
+    assert all(closed is None for closed in skip_arrival_window[:MAX_OVERSHOOT])
+    assert all(closed is not None for closed in skip_arrival_window[MAX_OVERSHOOT:])
     assert len(connections.connections) == 8 + MAX_OVERSHOOT
     connections.surplus(10_000)
     assert len(connections.connections) == 8
 
 
-def test_a_connection_is_looked_at_a_bounded_number_of_times_whatever_their_number() -> None:
+def test_the_work_per_connection_does_not_depend_on_their_number() -> None:
     """A tick looks at what is overdue, not at every connection; so does a newcomer at the bound."""
     connections = admission(50_000, proven=50_000)
     for conn in range(50_001, 50_101):
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("first_bytes", [0, 1, len(REQUEST) // 2, len(REQUEST) - 1])
-def test_a_request_in_pieces_is_served_though_others_connect_between_them(
+def test_a_request_in_pieces_is_served_though_others_connect_meanwhile(
     tmp_path: Path, first_bytes: int
 ) -> None:
     """At the bound, a client connects and asks in two pieces (or only later); others connect meanwhile."""
@@ -150,13 +150,15 @@
             answer = await slow.answer(name(1))
             assert answer is not None, "closed without an answer"
             assert answer["verb"] == "STARTED"
-            assert len(held(world)) <= descriptors.max_client_connections(LEAST_SOCKETS)
+            assert len(client_connections(world)) <= descriptors.max_client_connections(LEAST_SOCKETS)
 
     play(test)
 
 
 @pytest.mark.parametrize("silent", [b"", REQUEST[:20]], ids=["silent", "half a message"])
-def test_usual_clients_get_in_while_hundreds_connect_and_never_ask(tmp_path: Path, silent: bytes) -> None:
+def test_normal_clients_are_served_while_hundreds_connect_without_a_request(
+    tmp_path: Path, silent: bytes
+) -> None:
     async def test() -> None:
         async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
             await full(world)
@@ -174,14 +176,14 @@
     play(test)
 
 
-def test_a_request_that_was_unread_as_another_connected_keeps_its_connection(tmp_path: Path) -> None:
+def test_an_unread_request_keeps_its_connection_when_others_connect(tmp_path: Path) -> None:
     """At the bound: others connect; the loop is busy in the turn that accepts them, and in that time the
     longest idle client asks."""
 
     async def test() -> None:
         async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
             idle, trigger, *_ = await full(world)
-            busy = stands_still(world, lambda: push(idle, start_line(name(2))))
+            busy = stall_loop(world, lambda: push(idle, start_line(name(2))))
             newcomers = [connected(world, start_line(name(3 + k))) for k in range(4)]
             push(trigger, start_line(name(1)))
             await busy.wait()
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -21,7 +21,7 @@
 
 
 # ---- RTSP -------------------------------------------------------------------------------------------------
-def test_answers_and_requests_mixed_at_every_split() -> None:
+def test_responses_and_requests_mixed_at_every_split() -> None:
     data = (
         rtsp_answer(100, TAG)
         + GOOD
@@ -64,7 +64,7 @@
         rtsp_request("TEARDOWN", TAG).replace(b" RTSP/1.0", b""),
     ],
 )
-def test_what_cannot_be_read_ends_the_connection(data: bytes) -> None:
+def test_invalid_bytes_end_the_parsing_of_a_connection(data: bytes) -> None:
     reader = rtsp.MessageReader()
     with pytest.raises(rtsp.ProtocolError):
         reader.feed(data)
@@ -72,26 +72,26 @@
         reader.feed(GOOD)
 
 
-def test_an_answer_whose_length_falls_short_is_not_given_out_before_the_damage() -> None:
+def test_a_response_with_a_too_small_length_is_not_returned_before_the_error() -> None:
     """Where the rest of a body follows, the answer before it is the damaged one."""
     with pytest.raises(rtsp.ProtocolError):
         rtsp.MessageReader().feed(GOOD.replace(b"Content-Length: 24", b"Content-Length: 10"))
 
 
-def test_an_answer_cut_anywhere_is_no_answer() -> None:
+def test_a_truncated_response_is_no_message() -> None:
     for cut in range(len(GOOD)):
         assert rtsp.MessageReader().feed(GOOD[:cut]) == []
 
 
 @given(st.binary(max_size=600))
-def test_noise_raises_spoilt_and_nothing_else(data: bytes) -> None:
+def test_random_bytes_from_servers_raise_protocol_error_and_nothing_else(data: bytes) -> None:
     for prefix in (b"", b"RTSP/1.0 200 OK\r\n", GOOD):
         with contextlib.suppress(rtsp.ProtocolError):
             rtsp.MessageReader().feed(prefix + data)
 
 
 @given(st.data())
-def test_one_changed_byte_never_makes_an_answer_for_another(data: Any) -> None:
+def test_one_changed_byte_never_makes_a_response_for_another_session(data: Any) -> None:
     at = data.draw(st.integers(0, len(GOOD) - 1))
     damaged = GOOD[:at] + bytes([data.draw(st.integers(0, 255))]) + GOOD[at + 1 :]
     try:
@@ -103,7 +103,7 @@
             assert len(message.body) <= 24
 
 
-def test_what_is_sent_has_the_protocols_form() -> None:
+def test_messages_to_servers_have_the_form_of_the_protocol() -> None:
     data = rtsp.setup(TAG, "7f3a9c21e0b4d655", "paid", 2, 1500, b"abc\r\n")
     assert data.startswith(b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\n")
     for line in (b"CSeq: 1", b"Session: " + TAG.encode(), b"Call-Kind: paid", b"Answer-Within: 1500"):
@@ -130,7 +130,7 @@
         assert reader.pending == 0
 
 
-def test_a_set_up_is_read_with_all_its_figures() -> None:
+def test_all_fields_of_a_set_up_are_read() -> None:
     extras = "home:4;copies:3;top:2;viewer:00000000b4d65521;again:1;at:s-00c41f7a"
     found = viewers.read_line(start_line(TAG, "paid", opts={"left": 812.5, "extras": extras}))
     assert isinstance(found, viewers.Start)
@@ -166,7 +166,7 @@
         b'{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{},"x":' + b"[" * 12000 + b"\n",
     ],
 )
-def test_lines_that_are_no_message_end_the_connection(line: bytes) -> None:
+def test_invalid_lines_raise_protocol_error(line: bytes) -> None:
     with pytest.raises(viewers.ProtocolError):
         viewers.read_line(line)
 
@@ -195,25 +195,25 @@
         ("extras", "home:1;copies:1;top:1;at:nowhere"),
     ],
 )
-def test_figures_out_of_range_are_named(field: str, value: Any) -> None:
+def test_the_field_out_of_range_is_named(field: str, value: Any) -> None:
     found = viewers.read_line(start_line(TAG, opts={field: value}))
     assert isinstance(found, viewers.InvalidSetup) and found.tag == TAG
     assert field in found.field_name or found.field_name == "server name"
 
 
-def test_a_key_said_twice_makes_one_message_of_the_last() -> None:
+def test_of_a_repeated_key_the_last_value_counts() -> None:
     line = b'{"verb":"START","verb":"ECHO","tag":"0000000000000000","tag":"%s","opts":{}}\n' % TAG.encode()
     assert viewers.read_line(line) == viewers.Echo(TAG)
 
 
-def test_a_failed_test_is_told_from_one_that_was_passed() -> None:
+def test_a_failed_ping_is_distinguished_from_an_answered_one() -> None:
     [passed, failed, other] = rtsp.MessageReader().feed(
         rtsp_answer(200, TAG, cseq=3) + rtsp_answer(503, TAG, cseq=3) + rtsp_answer(503, TAG)
     )
     assert [rtsp.is_failed_ping(m) for m in (passed, failed, other)] == [False, True, False]
 
 
-def test_a_set_up_without_time_or_description_is_senseless() -> None:
+def test_a_set_up_without_time_or_description_is_invalid() -> None:
     message = json.loads(start_line(TAG))
     del message["opts"]["left"]
     assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.InvalidSetup)
@@ -222,7 +222,7 @@
     assert isinstance(viewers.read_line(json.dumps(message).encode()), viewers.InvalidSetup)
 
 
-def test_a_line_is_bounded_with_and_without_its_end() -> None:
+def test_a_line_is_bounded_with_and_without_a_line_feed() -> None:
     for data in (
         b"x" * viewers.MAX_LINE_BYTES,
         b"x" * viewers.MAX_LINE_BYTES + b"\n",
@@ -238,13 +238,13 @@
 
 
 @given(st.binary(max_size=400))
-def test_noise_from_viewers_raises_unreadable_and_nothing_else(data: bytes) -> None:
+def test_random_bytes_from_viewers_raise_protocol_error_and_nothing_else(data: bytes) -> None:
     for line in (data, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{' + data + b"}}"):
         with contextlib.suppress(viewers.ProtocolError):
             viewers.read_line(line)
 
 
-def test_answers_have_the_protocols_form() -> None:
+def test_messages_to_viewers_have_the_form_of_the_protocol() -> None:
     assert json.loads(viewers.started(TAG, "a\r\n")) == {
         "verb": "STARTED",
         "tag": TAG,
@@ -282,13 +282,13 @@
         frame(2, 2, record(7, "10.0.0.1:0")),
     ],
 )
-def test_frames_that_make_no_sense(data: bytes) -> None:
+def test_invalid_frames_raise_protocol_error(data: bytes) -> None:
     with pytest.raises(discovery_watch.ProtocolError):
         discovery_watch.FrameReader(2, 2, 4).feed(data)
 
 
 @given(st.binary(max_size=200))
-def test_noise_on_the_feed_raises_unreadable_and_nothing_else(data: bytes) -> None:
+def test_random_bytes_from_the_coordinator_raise_protocol_error_and_nothing_else(data: bytes) -> None:
     with contextlib.suppress(discovery_watch.ProtocolError):
         discovery_watch.FrameReader(2, 2, 4).feed(data)
 
@@ -342,7 +342,7 @@
         ),
     ],
 )
-def test_a_bad_configuration_names_its_field(change: Any, named: str) -> None:
+def test_an_error_in_the_configuration_names_its_field(change: Any, named: str) -> None:
     raw = json.loads(config([member(7, "10.0.0.1:5060")]))
     change(raw)
     with pytest.raises(ConfigError, match=named.replace(".", r"\.")):
@@ -350,12 +350,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[1]", b"\xff", b"[" * 5000])
-def test_a_configuration_that_is_no_json(data: bytes) -> None:
+def test_a_configuration_that_is_not_json_is_rejected(data: bytes) -> None:
     with pytest.raises(ConfigError):
         read(data)
 
 
-def test_nested_settings_have_the_wires_paths() -> None:
+def test_nested_settings_have_the_paths_of_the_wire() -> None:
     from foxlift.wiresettings import Params
 
     params = Params.nested(settings())
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -24,14 +24,14 @@
 from test_platform_sockets import (
     SMALL_BUFFER,
     Scene,
-    asks_more,
-    deafen,
-    deafened,
-    held,
+    client_connections,
+    connect_unreading_viewer,
     name,
     play,
     process,
     scene,
+    send_more,
+    stop_reading,
     unsent,
 )
 
@@ -78,16 +78,16 @@
     return found
 
 
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def skip_arrival_window(monkeypatch: pytest.MonkeyPatch) -> None:
     """A stop need not wait for requests that are still on their way: those of a test are not."""
     monkeypatch.setattr(stop, "ARRIVAL_SLACK_MS", -stop.ARRIVAL_WINDOW_MS)
 
 
 # ---- Stop -------------------------------------------------------------------------------------------------
-def test_requests_in_the_machines_buffers_as_a_stop_ends_are_answered(
+def test_requests_in_the_kernels_buffers_at_the_end_of_a_stop_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    at_once(monkeypatch)
+    skip_arrival_window(monkeypatch)
 
     async def test() -> None:
         async with scene(tmp_path) as world:
@@ -108,21 +108,21 @@
 
 
 def test_a_stop_waits_for_a_viewer_that_reads_slowly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    at_once(monkeypatch)
+    skip_arrival_window(monkeypatch)
 
     async def test() -> None:
         async with scene(tmp_path) as world:
-            deaf, echo = await deafened(world)
-            deaf.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
+            unreading, echo = await connect_unreading_viewer(world)
+            unreading.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
             world.director.stop()
             world.director._tick()
             for _ in range(4 * stop.MIN_QUIET_CHECKS):  # turns of the loop, enough for an end
                 await asyncio.sleep(0)
             assert unsent(world) and not world.director.ended.done()
-            deaf.reader._transport.resume_reading()  # type: ignore[attr-defined]
-            answer = await deaf.answer(name(1))
+            unreading.reader._transport.resume_reading()  # type: ignore[attr-defined]
+            answer = await unreading.answer(name(1))
             while answer is not None and answer["tag"] == name(1):
-                answer = await deaf.read()
+                answer = await unreading.read()
             assert answer is not None and (answer["tag"], answer["verb"]) == (name(2), "STARTED")
             await world.director.ended
 
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("klass", "cause"), [("paid", 41), ("free", 34)])
-def test_what_has_no_answer_shortly_before_the_kill_gets_one(tmp_path: Path, klass: str, cause: int) -> None:
+def test_open_requests_are_answered_shortly_before_the_kill(tmp_path: Path, klass: str, cause: int) -> None:
     long = settings()["categories"]
     for entry in long:
         entry["deadline_ms"] = 60_000.0
@@ -154,7 +154,7 @@
     play(test)
 
 
-def test_told_to_stop_in_the_middle_of_its_start_it_has_taken_nothing_and_ends(tmp_path: Path) -> None:
+def test_a_stop_signal_during_the_start_ends_a_director_without_requests(tmp_path: Path) -> None:
     file, address = tmp_path / "config.json", free_address()
     os.mkfifo(file)
     env = dict(os.environ, BALANCER_CONFIG=str(file))
@@ -167,7 +167,9 @@
         socket.create_connection((host, int(port)))
 
 
-def test_told_twice_to_stop_and_to_reload_meanwhile_it_goes_on_until_all_is_answered(tmp_path: Path) -> None:
+def test_a_repeated_stop_signal_and_a_reload_do_not_end_a_director_before_all_is_answered(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         box, feed = await StandInBox().start(), await StandInCoordinator().start()
         later, address = await StandInCoordinator().start(), free_address()
@@ -238,7 +240,7 @@
 left_by = pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 
 
-def connects_late(world: Scene) -> asyncio.Event:
+def delay_connects(world: Scene) -> asyncio.Event:
     """Connections to boxes are tried only once the event is set."""
     opened, connect = asyncio.Event(), world.director.servers._connect
 
@@ -250,15 +252,15 @@
     return opened
 
 
-async def fill(world: Scene, deaf: Viewer) -> None:
+async def fill(world: Scene, unreading: Viewer) -> None:
     """A viewer that does not read, with so much unsent that it would not be read from."""
-    echo = await deafen(world, deaf)
-    [connection] = held(world)
+    echo = await stop_reading(world, unreading)
+    [connection] = client_connections(world)
     while not connection._write_blocked:
-        await asks_more(world, deaf, echo * 4)
+        await send_more(world, unreading, echo * 4)
 
 
-async def served(world: Scene, number: int, left_ms: int = 1000) -> None:
+async def serve_another(world: Scene, number: int, left_ms: int = 1000) -> None:
     """Whoever comes later is served: what was to be sent before it has been sent by then."""
     later = await world.viewer()
     later.send(start_line(name(number), opts={"left": str(left_ms)}))
@@ -270,7 +272,7 @@
     return sum(box.methods(name(number)).count("SETUP") for box in world.boxes)
 
 
-def stands_still(world: Scene, first: Callable[[], None]) -> asyncio.Event:
+def stall_loop(world: Scene, first: Callable[[], None]) -> asyncio.Event:
     """The next bytes of a viewer find the loop busy: what happens meanwhile is ready in one turn."""
     done = asyncio.Event()
     read = world.director.client_read
@@ -286,7 +288,7 @@
 
 
 @left_by
-def test_left_together_with_the_request_while_the_loop_stood_still(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_together_with_its_request_during_a_stall(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             viewer, other = Leaver(world), await world.viewer()
@@ -297,17 +299,17 @@
                 viewer.send(start_line(name(1), "paid"))
                 viewer.leave(leave)
 
-            done = stands_still(world, meanwhile)
+            done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
             assert await other.answer(name(9)) and done.is_set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
     play(test)
 
 
 @left_by
-def test_left_in_the_turn_in_which_another_box_is_tried(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_in_the_iteration_that_tries_another_server(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer, other = Leaver(world), await world.viewer()
@@ -332,31 +334,31 @@
             viewer.send(start_line(name(1)))
             while not tried:
                 await asyncio.sleep(0)
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 1
 
     play(test)
 
 
 @left_by
-def test_left_while_the_connection_to_its_box_was_opening(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_while_the_connection_to_its_server_opens(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            loop, open_now = asyncio.get_running_loop(), connects_late(world)
+            loop, open_now = asyncio.get_running_loop(), delay_connects(world)
             viewer = Leaver(world)
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
             viewer.leave(leave)
             loop.call_soon(open_now.set)
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
     play(test)
 
 
 @left_by
-def test_left_behind_another_on_a_full_box(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_while_its_set_up_waits_behind_another(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, sockets=64, limits__max_streams=1) as world:
             [box] = world.boxes
@@ -378,64 +380,64 @@
             viewer.leave(leave)
             [(body, writer)] = out
             os.write(writer.get_extra_info("socket").fileno(), rtsp_answer(200, name(7), b"box\r\n" + body))
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
     play(test)
 
 
 @pytest.mark.parametrize("leave", ["take-back", "end of stream"])
-def test_left_while_its_answers_were_not_read(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_with_unread_answers(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            open_now = connects_late(world)
-            deaf = await world.viewer(SMALL_BUFFER)
-            deaf.send(start_line(name(1), "paid", opts={"left": "60000"}))
+            open_now = delay_connects(world)
+            unreading = await world.viewer(SMALL_BUFFER)
+            unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
-            await fill(world, deaf)
+            await fill(world, unreading)
             if leave == "take-back":
-                push(deaf, finish_line(name(1)))
+                push(unreading, finish_line(name(1)))
             else:
-                with socket.socket(fileno=os.dup(deaf.writer.get_extra_info("socket").fileno())) as far:
+                with socket.socket(fileno=os.dup(unreading.writer.get_extra_info("socket").fileno())) as far:
                     far.shutdown(socket.SHUT_WR)
-            [opening] = held(world)
+            [opening] = client_connections(world)
             while world.director.core.open_requests(opening.number):
                 await asyncio.sleep(0)
             counts = world.director.core.counts  # it was heard, and not answered or shut in the end
             assert counts["given up"] + counts["left with its connection"] == 1
             assert world.director.count["viewer overdue"] == 0
             open_now.set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
     play(test)
 
 
-def test_a_connection_that_is_closed_for_its_noise_takes_its_waiting_requests_with_it(tmp_path: Path) -> None:
+def test_a_connection_closed_for_invalid_bytes_withdraws_its_waiting_requests(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            open_now = connects_late(world)
-            deaf = await world.viewer(SMALL_BUFFER)
-            deaf.send(start_line(name(1), "paid", opts={"left": "60000"}))
+            open_now = delay_connects(world)
+            unreading = await world.viewer(SMALL_BUFFER)
+            unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
-            await fill(world, deaf)  # so its connection lasts past its close, for what is unsent
-            push(deaf, b"noise\n")
+            await fill(world, unreading)  # so its connection lasts past its close, for what is unsent
+            push(unreading, b"noise\n")
             while world.director.core.unanswered:
                 await asyncio.sleep(0)
-            assert held(world)
+            assert client_connections(world)
             open_now.set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
     play(test)
 
 
 # ---- Boxes ------------------------------------------------------------------------------------------------
-def test_a_set_up_handed_to_a_connection_that_its_box_closes_leaves_on_another(tmp_path: Path) -> None:
+def test_a_set_up_assigned_to_a_connection_that_the_server_closes_is_sent_on_another(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__max_streams=1) as world:
             [box] = world.boxes
@@ -468,7 +470,7 @@
     play(test)
 
 
-def test_a_release_owed_to_a_box_leaves_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
+def test_a_release_to_a_server_is_sent_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             [box] = world.boxes
@@ -507,7 +509,7 @@
     play(test)
 
 
-def test_a_box_that_is_listed_again_after_it_was_gone_is_served_at_its_new_address(tmp_path: Path) -> None:
+def test_a_removed_server_that_is_relisted_is_used_at_its_new_address(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             await world.feed.connected.wait()
@@ -532,13 +534,13 @@
     play(test)
 
 
-def test_what_connects_to_a_gone_box_is_given_up_before_another_answers_at_its_address(
+def test_connecting_to_a_removed_server_is_cancelled_before_another_answers_at_its_address(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             await world.feed.connected.wait()
-            director, opened = world.director, connects_late(world)
+            director, opened = world.director, delay_connects(world)
             viewer = await world.viewer()
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not director.servers.opening:
--- a/tests/test_platform_departures.py
+++ b/tests/test_platform_departures.py
@@ -26,13 +26,13 @@
 from test_platform_crossings import (
     WAYS_TO_LEAVE,
     Leaver,
-    connects_late,
+    delay_connects,
     push,
     sent,
-    served,
-    stands_still,
+    serve_another,
+    stall_loop,
 )
-from test_platform_sockets import SMALL_BUFFER, Scene, held, name, play, process, scene, unsent
+from test_platform_sockets import SMALL_BUFFER, Scene, client_connections, name, play, process, scene, unsent
 from test_platform_turns import HELD, holds, idle_connection, put
 
 from foxlift.platform import rtsp, server_pool
@@ -75,14 +75,14 @@
         if self.way == STAYS:
             while sent(self.world, 1) == self.set_ups_before:
                 await asyncio.sleep(0)
-        await served(self.world, 2, left_ms=60_000)
+        await serve_another(self.world, 2, left_ms=60_000)
         assert sent(self.world, 1) - self.set_ups_before == (1 if self.way == STAYS else 0)
 
 
 async def while_standing_still(world: Scene, meanwhile: Callable[[], None]) -> None:
     """Call back while the loop stands still inside the read of another client's bytes."""
     other = await world.viewer()
-    done = stands_still(world, meanwhile)
+    done = stall_loop(world, meanwhile)
     other.send(ECHO)
     await done.wait()
 
@@ -141,7 +141,7 @@
 
 
 async def waiting_for_an_opening_connection(world: Scene, departure: Departure) -> None:
-    open_now, client = connects_late(world), Leaver(world)
+    open_now, client = delay_connects(world), Leaver(world)
     client.send(ASKED)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
@@ -194,7 +194,7 @@
     await shared_connection(world)
     client = Leaver(world)
     await while_standing_still(world, lambda: None)  # the client is connected by then
-    done = stands_still(world, lambda: departure.take_place(client))
+    done = stall_loop(world, lambda: departure.take_place(client))
     client.send(ASKED)
     await done.wait()
 
@@ -209,7 +209,7 @@
         client.send(ECHO)
         departure.take_place(client)
 
-    done = stands_still(world, meanwhile)
+    done = stall_loop(world, meanwhile)
     client.send(ASKED)
     await done.wait()
 
@@ -224,7 +224,7 @@
         client.send(ASKED)
         departure.take_place(client)
 
-    done = stands_still(world, meanwhile)
+    done = stall_loop(world, meanwhile)
     other.send(start_line(name(9)))
     await done.wait()
 
@@ -252,10 +252,10 @@
         in_the_reading.set()
 
     def with_the_request() -> None:
-        stands_still(world, meanwhile)
+        stall_loop(world, meanwhile)
         push(other, ECHO)
 
-    stands_still(world, with_the_request)
+    stall_loop(world, with_the_request)
     client.send(ASKED)
     await in_the_reading.wait()
 
@@ -281,7 +281,7 @@
         for other in others:
             push(other, ECHO)
 
-    stands_still(world, with_the_request)
+    stall_loop(world, with_the_request)
     client.send(ASKED)
     while reads < MANY:
         await asyncio.sleep(0)
@@ -322,9 +322,9 @@
 
 async def unread_answers(world: Scene, client: Leaver) -> ClientConnection:
     """Answers to the client that it does not read lie with the director, unsent; its connection there."""
-    while not held(world):
+    while not client_connections(world):
         await asyncio.sleep(0)
-    [connection] = held(world)
+    [connection] = client_connections(world)
     assert connection.transport is not None
     director_side = connection.transport.get_extra_info("socket")
     director_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
@@ -337,7 +337,7 @@
 
 async def not_read_from(world: Scene, departure: Departure) -> None:
     """So much is unsent to the client that it would not be read from, had it no request open."""
-    open_now, client = connects_late(world), Leaver(world, receive_buffer=SMALL_BUFFER)
+    open_now, client = delay_connects(world), Leaver(world, receive_buffer=SMALL_BUFFER)
     connection = await unread_answers(world, client)
     client.send(ASKED)
     while not world.director.servers.opening:
@@ -355,7 +355,7 @@
 
 async def read_together_with_what_stops_the_reading(world: Scene, departure: Departure) -> None:
     """The request lies in one read behind tests whose answers are more than may be unsent."""
-    open_now, client = connects_late(world), Leaver(world, receive_buffer=SMALL_BUFFER)
+    open_now, client = delay_connects(world), Leaver(world, receive_buffer=SMALL_BUFFER)
     connection = await unread_answers(world, client)
     assert connection.transport is not None
     connection.transport.set_write_buffer_limits(high=unsent(world))
@@ -421,13 +421,13 @@
                 nonlocal stalls
                 stalls += 1
                 if stalls < 3:
-                    stands_still(world, sends_more)
+                    stall_loop(world, sends_more)
                     push(other, ECHO)
                 client.send(ECHO)
                 time.sleep(STALL_S)
                 assert not sent(world, 1)
 
-            stands_still(world, sends_more)
+            stall_loop(world, sends_more)
             client.send(ASKED)
             while not sent(world, 1):
                 await asyncio.sleep(0)
@@ -437,7 +437,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS_TO_LEAVE)
-def test_no_set_up_lies_behind_what_its_server_does_not_read(
+def test_no_set_up_is_buffered_behind_bytes_that_its_server_does_not_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str
 ) -> None:
     """Nothing tells when the server reads again, and by then its client may have left for long."""
@@ -506,7 +506,7 @@
         loop = asyncio.get_running_loop()
         assert b"serving" in await loop.run_in_executor(None, director.stderr.readline)
         world = ProcessScene(address, servers, director)
-        await served(world, 8, left_ms=60_000)
+        await serve_another(world, 8, left_ms=60_000)
         yield world
     finally:
         director.kill()
@@ -561,7 +561,7 @@
 
 @pytest.mark.parametrize("way", [*WAYS_TO_LEAVE, STAYS])
 @pytest.mark.parametrize("place", STOPPED, ids=lambda place: place.__name__)
-def test_a_process_that_was_stopped_sends_nothing_for_who_left_meanwhile(
+def test_a_suspended_process_sends_nothing_for_clients_that_left_meanwhile(
     tmp_path: Path, place: Callable[[ProcessScene, Departure], Awaitable[None]], way: str
 ) -> None:
     async def test() -> None:
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -16,7 +16,7 @@
 import pytest
 from platform_world import config, member
 from ports import free_address
-from test_platform_sockets import Scene, held, name, play, scene, unsent
+from test_platform_sockets import Scene, client_connections, name, play, scene, unsent
 
 from foxlift.platform import server_pool
 from foxlift.platform.admission import MAX_OVERSHOOT
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("sockets", [DESCRIPTORS, NO_LIMIT_OF_ITS_OWN])
 @pytest.mark.parametrize("kind", IDLE)
-def test_discovery_returns_while_idle_clients_and_servers_want_every_descriptor(
+def test_discovery_reconnects_while_idle_clients_and_servers_need_every_descriptor(
     tmp_path: Path, kind: str, sockets: int
 ) -> None:
     async def test() -> None:
@@ -168,15 +168,15 @@
 
 async def leave_unread(world: Scene) -> socket.socket:
     """A client that asks, ends its stream and never reads the answers, once that is known to the director."""
-    before = len(held(world))
+    before = len(client_connections(world))
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # before it connects: the window stays small
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     await loop.sock_connect(client, (world.director.config.listen.host, world.director.config.listen.port))
-    while len(held(world)) == before:
+    while len(client_connections(world)) == before:
         await asyncio.sleep(0)
-    connection = held(world)[-1]
+    connection = client_connections(world)[-1]
     assert connection.transport is not None
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await loop.sock_sendall(client, echo(1) * UNREAD_ANSWERS)
@@ -186,15 +186,17 @@
     return client
 
 
-def test_clients_that_leave_and_do_not_read_keep_few_descriptors_and_not_for_long(tmp_path: Path) -> None:
+def test_clients_that_leave_without_reading_keep_few_descriptors_for_a_short_time(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             clients = []
             for _ in range(2 * MAX_CLOSING):
                 clients.append(await leave_unread(world))
-                assert len(held(world)) <= MAX_CLOSING + 2  # one that has just come, one that is being cut
+                assert (
+                    len(client_connections(world)) <= MAX_CLOSING + 2
+                )  # one that has just come, one that is being cut
             assert unsent(world) > 0
-            while held(world):
+            while client_connections(world):
                 await asyncio.sleep(0.005)
             for client in clients:
                 client.close()
@@ -213,7 +215,7 @@
         assert shares.servers >= servers + SERVER_MARGIN  # one for each
 
 
-def line(now: float, standing: int = 0, connections: int = 1) -> server_pool.ServerPool:
+def make_pool(now: float, standing: int = 0, connections: int = 1) -> server_pool.ServerPool:
     """A server with connections that came up at a moment."""
     made = server_pool.ServerPool(1000.0, 30000.0, 4, 1)
     for key in range(connections):
@@ -226,10 +228,15 @@
     return made
 
 
-def test_the_connection_needed_least_is_closed_for_another_servers() -> None:
-    in_use = line(0.0)
+def test_the_least_needed_server_connection_is_closed_for_another_server() -> None:
+    in_use = make_pool(0.0)
     in_use.handle(0.0, server_pool.SetupQueued(9))
-    servers = {1: in_use, 2: line(0.0, standing=1), 3: line(500.0), 4: line(200.0, standing=2, connections=2)}
+    servers = {
+        1: in_use,
+        2: make_pool(0.0, standing=1),
+        3: make_pool(500.0),
+        4: make_pool(200.0, standing=2, connections=2),
+    }
     order = []
     while (least := select_connection_to_close(1100.0, servers, MIN_LISTENING_MS)) is not None:
         order.append((least.node, least.conn))
@@ -243,8 +250,8 @@
     assert select_connection_to_close(1300.0, servers, MIN_LISTENING_MS) == last
 
 
-def test_a_server_that_gave_up_its_connection_asks_again_after_a_wait() -> None:
-    server = line(0.0, standing=1)
+def test_a_server_whose_connection_was_closed_for_another_reopens_it_after_a_wait() -> None:
+    server = make_pool(0.0, standing=1)
     server.handle(2000.0, server_pool.ConnectionYielded(1))
     assert server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS / 2, server_pool.Tick()) == []
     [again] = server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS, server_pool.Tick())
@@ -255,7 +262,7 @@
     assert isinstance(once_more, server_pool.OpenConnection)
 
 
-def test_only_the_longest_closed_connection_is_cut_for_another() -> None:
+def test_only_the_connection_closed_first_is_aborted_for_another() -> None:
     cut: list[int] = []
 
     class Connection:
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -20,17 +20,17 @@
 HERE, THERE = Address("10.0.0.1", 1), Address("10.0.0.2", 2)
 
 
-def line(most: int = 4, streams: int = 1000) -> server_pool.ServerPool:
+def make_pool(most: int = 4, streams: int = 1000) -> server_pool.ServerPool:
     return server_pool.ServerPool(250.0, 30000.0, most, streams)
 
 
-def kinds(actions: list[server_pool.Action]) -> list[str]:
+def action_names(actions: list[server_pool.Action]) -> list[str]:
     return [type(action).__name__ for action in actions]
 
 
 # ---- Lines ------------------------------------------------------------------------------------------------
-def test_a_set_up_leaves_alone_on_its_connection_while_there_is_room() -> None:
-    box = line(2)
+def test_a_set_up_has_its_connection_to_itself_while_more_may_be_opened() -> None:
+    box = make_pool(2)
     assert box.handle(0, server_pool.SetupQueued(1)) == [server_pool.OpenConnection(1, 250.0)]
     assert box.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
     assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
@@ -40,11 +40,13 @@
     ]  # no room for more: shared
     for conn in (1, 1, 2):
         box.handle(3, server_pool.SlotReleased(conn))
-    assert kinds(box.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]  # idle ones are used again
+    assert action_names(box.handle(4, server_pool.SetupQueued(4))) == [
+        "UseConnection"
+    ]  # idle ones are used again
 
 
 def test_a_connection_that_is_not_up_in_time_or_refused_fails_one_waiting_set_up() -> None:
-    box = line()
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.SetupQueued(2))
     assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
@@ -56,28 +58,28 @@
     assert box.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
 
 
-def test_a_taken_back_set_up_does_not_leave() -> None:
-    box = line()
+def test_a_cancelled_set_up_is_not_sent() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(1, server_pool.SetupCancelled(1))
     assert box.handle(2, server_pool.ConnectionOpened(1)) == []
 
 
-def test_quiet_with_work_out_is_tested_and_given_up() -> None:
-    box = line()
+def test_a_quiet_connection_with_a_set_up_is_pinged_and_closed() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
     assert box.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
     assert box.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
-    assert kinds(box.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
+    assert action_names(box.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
         "OpenConnection"
     ]  # perhaps dead: not used
     after = server_pool.PING_IDLE_MS + server_pool.PING_TIMEOUT_MS
     assert server_pool.CloseConnection(1) in box.handle(after, server_pool.Tick())
 
 
-def test_a_test_that_is_passed_keeps_the_connection() -> None:
-    box = line()
+def test_an_answered_ping_keeps_the_connection() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(1000, server_pool.Tick())
@@ -86,8 +88,8 @@
     assert box.latest_up == 1
 
 
-def test_a_broken_connection_proves_nothing_and_a_refused_one_that_the_process_is_gone() -> None:
-    box = line()
+def test_a_closed_connection_loses_no_sessions_and_a_refused_one_does() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(5, server_pool.SlotReleased(1))
@@ -100,8 +102,8 @@
     ]
 
 
-def test_a_refusal_beside_a_connection_that_is_up_is_no_death() -> None:
-    box = line()
+def test_a_refused_connection_beside_an_open_one_loses_no_sessions() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(0, server_pool.SessionsChanged(1))
@@ -109,8 +111,8 @@
     assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
 
 
-def test_silence_ends_what_played_there_within_the_time_owed() -> None:
-    box = line()
+def test_silence_ends_sessions_within_the_notification_deadline() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SessionsChanged(3))
     box.handle(0, server_pool.ConnectionOpened(1))
     lost = None
@@ -123,8 +125,8 @@
     assert lost is not None and lost <= 6000
 
 
-def test_a_box_off_the_list_is_not_reached_again() -> None:
-    box = line()
+def test_a_removed_server_is_not_connected_to_again() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(1))
     box.handle(0, server_pool.ConnectionOpened(1))
     box.handle(5, server_pool.SlotReleased(1))
@@ -135,8 +137,8 @@
     assert box.unused
 
 
-def test_one_connection_is_kept_to_hear_of_sessions_though_all_were_heard_at_once() -> None:
-    box = line(8)
+def test_one_connection_is_kept_for_sessions_though_all_received_at_once() -> None:
+    box = make_pool(8)
     for k in (1, 2, 3):
         box.handle(0, server_pool.SetupQueued(k))
     for k in (1, 2, 3):
@@ -145,15 +147,15 @@
         box.handle(1, server_pool.DataReceived(k))
         box.handle(1, server_pool.SlotReleased(k))
     box.handle(1, server_pool.SessionsChanged(3))
-    assert kinds(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
+    assert action_names(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
     box.handle(1001, server_pool.DataReceived(3))
-    assert kinds(box.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
+    assert action_names(box.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
     assert len(box.connections) == 1
 
 
-def test_idle_connections_are_retired_before_the_box_closes_them_and_not_sooner() -> None:
+def test_idle_connections_are_retired_before_the_server_closes_them_and_not_sooner() -> None:
     """A release may be on its way: what the box has still to say is heard, so nothing is cut off."""
-    box = line(8)
+    box = make_pool(8)
     for k in range(1, 6):
         box.handle(0, server_pool.SetupQueued(k))
     for k in range(1, 6):
@@ -161,12 +163,12 @@
     for k in range(1, 6):
         box.handle(1, server_pool.SlotReleased(k))
     assert box.handle(17000, server_pool.Tick()) == []
-    assert kinds(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
+    assert action_names(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
     assert not box.connections
 
 
 @pytest.mark.parametrize("idle_ms", [500.0, 1500.0, 30000.0])
-def test_a_connection_that_hears_of_sessions_is_tested_before_the_box_closes_it_as_idle(
+def test_a_connection_kept_for_sessions_is_pinged_before_the_server_closes_it_as_idle(
     idle_ms: float,
 ) -> None:
     box = server_pool.ServerPool(250.0, idle_ms, 4, 1)
@@ -184,9 +186,9 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("wurfdhstgk"), st.integers(1, 6)), max_size=120))
-def test_a_line_never_loses_a_set_up_nor_uses_a_dead_connection(steps: list[tuple[str, int]]) -> None:
+def test_a_pool_never_loses_a_set_up_nor_uses_a_dead_connection(steps: list[tuple[str, int]]) -> None:
     """Each wanted set-up is used, unreached, taken back or waits; only connections that are up are used."""
-    box = line(3)
+    box = make_pool(3)
     up: set[int] = set()
     opening: set[int] = set()
     wants: set[int] = set()
@@ -254,121 +256,125 @@
 
 
 # ---- Feed -------------------------------------------------------------------------------------------------
-def heard(*data: bytes) -> discovery_watch.FramesReceived:
+def frames_of(*data: bytes) -> discovery_watch.FramesReceived:
     return discovery_watch.FramesReceived(tuple(discovery_watch.FrameReader(2, 2, 4).feed(b"".join(data))))
 
 
-def opened(number: int = 1) -> discovery_watch.DiscoveryWatch:
-    made = discovery_watch.DiscoveryWatch(HERE, number, 5)
-    assert made.start()[0] == discovery_watch.OpenConnection(HERE)
-    ask = made.handle(0, discovery_watch.ConnectionOpened())[0]
+def open_watch(number: int = 1) -> discovery_watch.DiscoveryWatch:
+    watch = discovery_watch.DiscoveryWatch(HERE, number, 5)
+    assert watch.start()[0] == discovery_watch.OpenConnection(HERE)
+    ask = watch.handle(0, discovery_watch.ConnectionOpened())[0]
     assert ask == discovery_watch.RequestUpdates(number.to_bytes(8, "big"))
-    return made
+    return watch
 
 
-def told(actions: list[discovery_watch.Action]) -> list[int]:
+def delivered(actions: list[discovery_watch.Action]) -> list[int]:
     return [action.update.number for action in actions if isinstance(action, discovery_watch.DeliverUpdate)]
 
 
-def later(actions: list[discovery_watch.Action]) -> discovery_watch.StartTimer:
+def timer_of(actions: list[discovery_watch.Action]) -> discovery_watch.StartTimer:
     return [action for action in actions if isinstance(action, discovery_watch.StartTimer)][-1]
 
 
-def test_events_are_told_once_and_in_order() -> None:
-    made = opened()
+def test_updates_are_delivered_once_and_in_order() -> None:
+    watch = open_watch()
     one = frame(2, 2, record(7, "10.0.0.7:5060", 1))
     two = frame(3, 2, record(7, "10.0.0.7:5060", 2))
-    assert told(made.handle(1, heard(one, one, two, one))) == [2, 3]
-    assert told(made.handle(2, heard(frame(1, 1, record(8, "10.0.0.8:5060"))))) == []  # an old list
-    assert told(made.handle(2, heard(frame(9, 1, record(8, "10.0.0.8:5060"))))) == [9]
+    assert delivered(watch.handle(1, frames_of(one, one, two, one))) == [2, 3]
+    assert delivered(watch.handle(2, frames_of(frame(1, 1, record(8, "10.0.0.8:5060"))))) == []  # an old list
+    assert delivered(watch.handle(2, frames_of(frame(9, 1, record(8, "10.0.0.8:5060"))))) == [9]
 
 
-def test_a_gap_is_asked_for_again_from_the_last_event_held() -> None:
-    made = opened()
-    actions = made.handle(1, heard(frame(3, 2, record(7, "10.0.0.7:5060"))))
-    assert told(actions) == [] and discovery_watch.CloseConnection() in actions and made.number == 1
-    [connect, _] = made.handle(30, discovery_watch.TimerExpired(later(actions).timer_id))
+def test_a_gap_is_requested_again_from_the_last_update_received() -> None:
+    watch = open_watch()
+    actions = watch.handle(1, frames_of(frame(3, 2, record(7, "10.0.0.7:5060"))))
+    assert delivered(actions) == [] and discovery_watch.CloseConnection() in actions and watch.number == 1
+    [connect, _] = watch.handle(30, discovery_watch.TimerExpired(timer_of(actions).timer_id))
     assert connect == discovery_watch.OpenConnection(HERE)
-    assert made.handle(31, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+    assert watch.handle(31, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
         (1).to_bytes(8, "big")
     )
 
 
-def test_gaps_that_do_not_close_bring_the_whole_list_for_once() -> None:
-    made = opened()
+def test_repeated_gaps_request_the_full_list_once() -> None:
+    watch = open_watch()
     now = 0.0
     for _ in range(discovery_watch.MAX_MISREADS):
-        actions = made.handle(now, heard(frame(5, 2, record(7, "10.0.0.7:5060"))))
+        actions = watch.handle(now, frames_of(frame(5, 2, record(7, "10.0.0.7:5060"))))
         now += 600
-        made.handle(now, discovery_watch.TimerExpired(later(actions).timer_id))
-        ask = made.handle(now, discovery_watch.ConnectionOpened())[0]
+        watch.handle(now, discovery_watch.TimerExpired(timer_of(actions).timer_id))
+        ask = watch.handle(now, discovery_watch.ConnectionOpened())[0]
     assert ask == discovery_watch.RequestUpdates(bytes(8))
-    assert told(made.handle(now, heard(frame(1, 1, record(7, "10.0.0.7:5060"))))) == [1]
+    assert delivered(watch.handle(now, frames_of(frame(1, 1, record(7, "10.0.0.7:5060"))))) == [1]
 
 
-def test_silence_is_noticed_well_inside_the_time_in_which_events_count_as_told() -> None:
-    made = opened()
-    timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, made._timer_id)
+def test_silence_is_noticed_within_two_seconds() -> None:
+    watch = open_watch()
+    timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, watch._timer_id)
     now = 0.0
     for _ in range(5):  # empty frames keep it alive
         now += 1000
-        made.handle(now, heard(frame(1, 0)))
+        watch.handle(now, frames_of(frame(1, 0)))
         while timer.delay_ms <= now:
-            again = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
-            timer = discovery_watch.StartTimer(timer.delay_ms + later(again).delay_ms, later(again).timer_id)
-    actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+            again = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+            timer = discovery_watch.StartTimer(
+                timer.delay_ms + timer_of(again).delay_ms, timer_of(again).timer_id
+            )
+    actions = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
     if discovery_watch.CloseConnection() not in actions:
-        timer = discovery_watch.StartTimer(timer.delay_ms + later(actions).delay_ms, later(actions).timer_id)
-        actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+        timer = discovery_watch.StartTimer(
+            timer.delay_ms + timer_of(actions).delay_ms, timer_of(actions).timer_id
+        )
+        actions = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
     assert discovery_watch.CloseConnection() in actions and timer.delay_ms - now <= 2000
 
 
-def test_waits_grow_are_bounded_and_differ_between_directors() -> None:
+def test_reconnect_waits_grow_are_bounded_and_differ_between_directors() -> None:
     waits = []
     for seed in (1, 2):
-        made = discovery_watch.DiscoveryWatch(HERE, 1, seed)
-        made.start()
+        watch = discovery_watch.DiscoveryWatch(HERE, 1, seed)
+        watch.start()
         mine = []
         for _ in range(12):
-            actions = made.handle(0, discovery_watch.ConnectionClosed())
-            mine.append(later(actions).delay_ms)
-            made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
+            actions = watch.handle(0, discovery_watch.ConnectionClosed())
+            mine.append(timer_of(actions).delay_ms)
+            watch.handle(0, discovery_watch.TimerExpired(timer_of(actions).timer_id))
         assert max(mine) <= discovery_watch.MAX_BACKOFF_MS * 1.25 and mine[0] < 30
         waits.append(mine)
     assert waits[0] != waits[1]
 
 
-def test_a_connection_that_never_comes_up_is_given_up() -> None:
-    made = discovery_watch.DiscoveryWatch(HERE, 1, 1)
-    timer = later(made.start())
-    assert discovery_watch.CloseConnection() in made.handle(
+def test_a_connection_that_does_not_come_up_is_retried() -> None:
+    watch = discovery_watch.DiscoveryWatch(HERE, 1, 1)
+    timer = timer_of(watch.start())
+    assert discovery_watch.CloseConnection() in watch.handle(
         discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(timer.timer_id)
     )
-    assert made.handle(800, discovery_watch.ConnectionOpened()) == []  # of the one that was dropped
+    assert watch.handle(800, discovery_watch.ConnectionOpened()) == []  # of the one that was dropped
 
 
-def test_a_new_address_is_gone_to_at_once_and_twice_running() -> None:
-    made = opened(4)
-    assert made.handle(1, discovery_watch.AddressChanged(HERE)) == []
+def test_a_new_address_is_connected_to_at_once_and_twice_in_a_row() -> None:
+    watch = open_watch(4)
+    assert watch.handle(1, discovery_watch.AddressChanged(HERE)) == []
     for address in (THERE, HERE):
-        actions = made.handle(1, discovery_watch.AddressChanged(address))
+        actions = watch.handle(1, discovery_watch.AddressChanged(address))
         assert actions[:2] == [discovery_watch.CloseConnection(), discovery_watch.OpenConnection(address)]
-    assert made.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+    assert watch.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
         (4).to_bytes(8, "big")
     )
     assert (
-        made.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
+        watch.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
     )  # a timer of the old connection
 
 
-def test_an_unreadable_feed_is_asked_again() -> None:
-    made = opened()
-    assert discovery_watch.CloseConnection() in made.resynchronize()
-    assert made.resynchronize() == []
+def test_an_invalid_frame_causes_a_reconnect() -> None:
+    watch = open_watch()
+    assert discovery_watch.CloseConnection() in watch.resynchronize()
+    assert watch.resynchronize() == []
 
 
 # ---- Connection admission and the stop --------------------------------------------------------------------
-def test_silent_connections_go_first_and_in_time() -> None:
+def test_connections_without_bytes_are_closed_first_and_in_time() -> None:
     connections = ConnectionAdmission(3)
     for conn in (1, 2, 3):
         assert connections.opened(0, conn) is None and connections.surplus(0) == []
@@ -380,7 +386,7 @@
     assert admission.FIRST_REQUEST_TIMEOUT_MS < 3000
 
 
-def test_among_proven_ones_the_longest_quiet_without_a_session_goes() -> None:
+def test_of_proven_connections_the_longest_idle_without_a_session_is_evicted() -> None:
     connections = ConnectionAdmission(2)
     for conn in (1, 2):
         connections.opened(0, conn)
@@ -397,17 +403,19 @@
     assert connections.surplus(8) == [1]
 
 
-def test_a_burst_gives_each_newcomer_anothers_place() -> None:
+def test_each_connection_of_a_burst_evicts_another() -> None:
     """Hundreds come in one look at the sockets, before the end of the first that was shut is heard."""
     connections = ConnectionAdmission(4)
     shut = [connections.opened(0, conn) for conn in range(1, 104)]
-    at_once = 4 + admission.MAX_OVERSHOOT  # until the sockets are looked at
-    assert shut[:at_once] == [None] * at_once and shut[at_once:] == list(range(1, 104 - at_once))
-    assert connections.surplus(0) == list(range(104 - at_once, 100))
+    skip_arrival_window = 4 + admission.MAX_OVERSHOOT  # until the sockets are looked at
+    assert shut[:skip_arrival_window] == [None] * skip_arrival_window and shut[skip_arrival_window:] == list(
+        range(1, 104 - skip_arrival_window)
+    )
+    assert connections.surplus(0) == list(range(104 - skip_arrival_window, 100))
     assert len(connections.connections) == 4
 
 
-def test_what_makes_no_sense_is_answered_so_often_and_no_more() -> None:
+def test_a_connection_is_closed_after_the_maximum_of_invalid_messages() -> None:
     connections = ConnectionAdmission(3)
     connections.opened(0, 1)
     close_after = [connections.record_protocol_error(1) for _ in range(admission.MAX_PROTOCOL_ERRORS)]
@@ -415,7 +423,7 @@
     assert not connections.record_protocol_error(1) and not connections.record_protocol_error(7)
 
 
-def test_half_a_message_is_waited_for_only_so_long() -> None:
+def test_a_partial_message_is_closed_after_its_timeout() -> None:
     connections = ConnectionAdmission(9)
     connections.opened(0, 1)
     connections.received(10, 1, proven=True, partial=False)
@@ -429,7 +437,7 @@
 DEADLINES = (1500.0, 60_000.0)  # the longest counts as 3 s
 
 
-def looked(at: stop.GracefulStop, now: float, *owed: int) -> list[stop.Step]:
+def check_repeatedly(at: stop.GracefulStop, now: float, *owed: int) -> list[stop.Step]:
     """The looks one after another, up to one that waits or ends."""
     steps = [at.check(now, stop.PendingWork(*owed))]
     while steps[-1] is stop.Step.CHECK:
@@ -443,45 +451,45 @@
 def test_a_stop_waits_for_late_requests_and_for_answers(waited: float, unanswered: int, ends: bool) -> None:
     at = stop.GracefulStop(DEADLINES)
     assert at.begin(1000)
-    assert (looked(at, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
+    assert (check_repeatedly(at, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
     assert not at.begin(1000 + waited)  # told twice is told once
 
 
-def test_a_stop_looks_at_the_sockets_again_and_stays_for_what_it_finds() -> None:
+def test_a_stop_checks_the_sockets_again_and_waits_for_new_requests() -> None:
     at = stop.GracefulStop(DEADLINES)
     at.begin(0)
     assert at.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
-    for heard in (8, 9, 10, 11, 12, 13):  # something comes at each look
-        assert at.check(1000, stop.PendingWork(0, 0, heard)) is stop.Step.CHECK
+    for frames_of in (8, 9, 10, 11, 12, 13):  # something comes at each look
+        assert at.check(1000, stop.PendingWork(0, 0, frames_of)) is stop.Step.CHECK
     assert at.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT  # and one of them was a request
     assert at.state is stop.State.DRAINING
-    steps = looked(at, 1100, 0, 0, 15)
+    steps = check_repeatedly(at, 1100, 0, 0, 15)
     assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [
         stop.Step.END
     ]  # the first has news of a read
 
 
-def test_a_stop_waits_for_what_is_written_to_be_taken_and_never_past_the_kill() -> None:
+def test_a_stop_waits_for_unsent_bytes_but_never_past_the_kill() -> None:
     at = stop.GracefulStop(DEADLINES)
     at.begin(0)
     assert at.killed_after_ms == 3700
-    assert looked(at, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
-    assert looked(at, 3500, 2, 90, 7) == [stop.Step.ANSWER]
-    assert looked(at, 3500, 0, 90, 7) == [stop.Step.WAIT]
-    assert looked(at, 3600, 0, 90, 8)[-1] is stop.Step.END
+    assert check_repeatedly(at, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(at, 3500, 2, 90, 7) == [stop.Step.ANSWER]
+    assert check_repeatedly(at, 3500, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(at, 3600, 0, 90, 8)[-1] is stop.Step.END
 
 
 @pytest.mark.parametrize("deadline", [100.0, 900.0, 3000.0, 60_000.0])
-def test_a_stop_ends_before_the_kill_whatever_the_settings_deadlines_and_whatever_comes(
+def test_a_stop_ends_before_the_kill_for_all_deadlines_and_any_input(
     deadline: float,
 ) -> None:
     at = stop.GracefulStop([deadline, 50.0])
     at.begin(0)
-    now, heard = 0.0, 0
+    now, frames_of = 0.0, 0
     while at.state is not stop.State.ENDED:
-        now, heard = now + 100, heard + 1  # a flood that never ends and a viewer that never reads
+        now, frames_of = now + 100, frames_of + 1  # a flood that never ends and a viewer that never reads
         unanswered = 1
-        while (step := at.check(now, stop.PendingWork(unanswered, 70_000, heard))) in (
+        while (step := at.check(now, stop.PendingWork(unanswered, 70_000, frames_of))) in (
             stop.Step.ANSWER,
             stop.Step.CHECK,
         ):
@@ -492,7 +500,7 @@
 
 @pytest.mark.parametrize("limit", [64, 256, 384, 1024])
 @pytest.mark.parametrize("servers", [1, 12, 23, 60])
-def test_descriptors_are_shared_out_with_a_third_for_clients(limit: int, servers: int) -> None:
+def test_descriptor_shares_leave_a_third_for_clients(limit: int, servers: int) -> None:
     clients = descriptors.max_client_connections(limit)
     each = descriptors.max_connections_per_server(limit, servers)
     if servers <= limit * descriptors.SERVER_RATIO:
@@ -500,7 +508,7 @@
     assert each >= 1 and (limit < 256 or clients >= limit / 3)
 
 
-def test_what_lay_unread_while_the_loop_was_busy_is_known() -> None:
+def test_the_delay_of_bytes_unread_while_the_loop_was_busy_is_estimated() -> None:
     lag = EventLoopLag()
     assert lag.work_begins(1000.0) == 0.0  # the first: nothing is known of before
     lag.work_ends(1000.3)
@@ -514,8 +522,8 @@
     assert lag.work_begins(1700.0) == 0.0  # idle for long, then woken
 
 
-def test_set_ups_beyond_the_settings_streams_wait_for_room() -> None:
-    box = line(most=1, streams=2)
+def test_set_ups_beyond_the_maximum_of_streams_wait() -> None:
+    box = make_pool(most=1, streams=2)
     for key in (1, 2, 3):
         box.handle(0, server_pool.SetupQueued(key))
     assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
@@ -525,19 +533,19 @@
     assert [key for key, _ in box.waiting] == [3, 5]
 
 
-def test_a_coordinator_that_leaves_gaps_for_good_is_not_asked_without_pause() -> None:
-    made = opened()
+def test_permanent_gaps_cause_reconnects_with_growing_waits() -> None:
+    watch = open_watch()
     waits = []
     for _ in range(12):
-        actions = made.handle(0, heard(frame(9, 2, record(7, "10.0.0.7:5060"))))
-        waits.append(later(actions).delay_ms)
-        made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
-        made.handle(0, discovery_watch.ConnectionOpened())
+        actions = watch.handle(0, frames_of(frame(9, 2, record(7, "10.0.0.7:5060"))))
+        waits.append(timer_of(actions).delay_ms)
+        watch.handle(0, discovery_watch.TimerExpired(timer_of(actions).timer_id))
+        watch.handle(0, discovery_watch.ConnectionOpened())
     assert waits[-1] > 0.7 * discovery_watch.MAX_BACKOFF_MS
 
 
 # ---- Releases ---------------------------------------------------------------------------------------------
-def test_a_release_goes_to_its_own_connection_else_to_a_served_one_else_it_waits() -> None:
+def test_a_release_is_written_on_its_own_connection_else_on_one_in_use_else_kept() -> None:
     owed = ViewerReleases()
     assert owed.add(0, 1, "a", b"A") == []  # nobody is there
     assert owed.session_requested(10, 2) == [Write(2, b"A")]
@@ -549,7 +557,7 @@
     assert owed.add(50, 5, "d", b"D") == [Write(5, b"D")]
 
 
-def test_what_was_not_confirmed_when_its_connection_ended_is_written_again() -> None:
+def test_a_release_unconfirmed_when_its_connection_closes_is_written_again() -> None:
     owed = ViewerReleases()
     for conn in (1, 2):
         owed.session_started(0, conn)
@@ -565,7 +573,7 @@
     assert len(owed) == 0
 
 
-def test_releases_are_kept_no_longer_than_they_are_owed_and_no_more_than_there_is_room_for() -> None:
+def test_releases_are_bounded_in_time_and_number() -> None:
     owed = ViewerReleases()
     owed.add(0, 1, "old", b"old")
     owed.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
@@ -589,7 +597,7 @@
 
 
 # ---- Telling the module -----------------------------------------------------------------------------------
-def test_what_an_action_brings_about_waits_its_turn() -> None:
+def test_an_event_caused_by_an_action_is_handled_after_the_current_event() -> None:
     order: list[str] = []
 
     class Speaks(Director):
@@ -612,19 +620,19 @@
     ]
 
 
-def test_what_is_owed_to_a_box_opens_a_connection_until_one_is_up_or_the_box_is_gone() -> None:
-    box = line(most=1)
+def test_an_unsent_message_opens_connections_until_one_is_up_or_the_server_is_gone() -> None:
+    box = make_pool(most=1)
     assert box.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
     assert box.handle(10, server_pool.ConnectRequested()) == []  # one is opening
     assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
-    opened = [
+    open_watch = [
         now for now in range(300, 20_000, 100) for a in box.handle(now, server_pool.Tick()) if a in OPENS
     ]
-    assert opened[0] == 300 and len(opened) < 12  # each fails, and waits grow
+    assert open_watch[0] == 300 and len(open_watch) < 12  # each fails, and waits grow
     assert (
         box.handle(20_000, server_pool.ConnectionOpened(box._last_conn)) == [] and not box.connect_requested
     )
-    refused = line()
+    refused = make_pool()
     assert refused.handle(0, server_pool.ConnectRequested()) == [server_pool.OpenConnection(1, 250.0)]
     assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [
         server_pool.DiscardUnsent()
@@ -635,8 +643,8 @@
 OPENS = [server_pool.OpenConnection(k, 250.0) for k in range(1, 40)]
 
 
-def test_a_gone_box_is_not_connected_to_and_one_that_is_back_is() -> None:
-    box = line()
+def test_a_removed_server_is_not_connected_to_and_a_relisted_one_is() -> None:
+    box = make_pool()
     box.handle(0, server_pool.SetupQueued(7))
     assert box.handle(1, server_pool.ServerRemoved()) == [
         server_pool.CloseConnection(1),
@@ -657,8 +665,8 @@
     assert server_pool.RetireConnection(2) in box.handle(11, server_pool.Tick())
 
 
-def test_a_set_up_that_came_while_the_only_connection_was_tested_leaves_when_the_test_is_passed() -> None:
-    box = line(most=1)
+def test_a_set_up_queued_while_the_only_connection_is_pinged_is_sent_after_the_answer() -> None:
+    box = make_pool(most=1)
     box.handle(0, server_pool.SessionsChanged(1))
     box.handle(1, server_pool.ConnectionOpened(1))
     box.handle(2, server_pool.DataReceived(1))
@@ -672,7 +680,7 @@
         server_pool.UseConnection(1, 8),
     ]
     assert not box.waiting and box.in_flight == 2
-    narrow = line(most=1, streams=1)
+    narrow = make_pool(most=1, streams=1)
     narrow.handle(0, server_pool.SessionsChanged(1))
     narrow.handle(1, server_pool.ConnectionOpened(1))
     assert narrow.connections[1].pinged_at
@@ -682,8 +690,8 @@
     assert narrow.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 8)]
 
 
-def test_set_ups_that_wait_get_a_connection_when_the_last_one_went_to_an_old_address() -> None:
-    box = line(most=1)
+def test_waiting_set_ups_get_a_connection_when_the_last_one_had_a_former_address() -> None:
+    box = make_pool(most=1)
     box.handle(0, server_pool.SetupQueued(7))
     box.handle(1, server_pool.ConnectionOpened(1))
     box.handle(2, server_pool.ServerListed(True))
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -45,12 +45,12 @@
         "import ctypes; ctypes.CDLL(None).syscall(426, 0, 0, 0, 0, 0, 0)",
     ],
 )
-def test_the_filter_ends_what_takes_a_way_that_is_not_allowed(code: str) -> None:
+def test_the_filter_kills_a_process_that_uses_a_forbidden_call(code: str) -> None:
     ended = subprocess.run([sys.executable, CONFINED, sys.executable, "-c", code], check=False)
     assert ended.returncode == -signal.SIGSYS
 
 
-def test_the_filter_lets_threads_live_and_refuses_rings_with_an_error() -> None:
+def test_the_filter_allows_threads_and_refuses_io_rings_with_an_error() -> None:
     code = (
         "import ctypes, errno, threading as t\n"
         "x = t.Thread(target=print); x.start(); x.join()\n"
@@ -107,7 +107,7 @@
     uvloop.run(asyncio.wait_for(test(), 40))
 
 
-def test_build_brings_an_older_environment_up_to_date_and_asks_for_no_other_program() -> None:
+def test_build_updates_an_older_environment_and_needs_no_other_program() -> None:
     line = DEPLOY["build"]
     made, installed, compiled = (step.strip() for step in line.split("&&"))
     assert made.startswith("(test -d .venv || ") and installed.endswith("install -r requirements.txt")
--- a/tests/test_platform_session_endings.py
+++ b/tests/test_platform_session_endings.py
@@ -6,7 +6,7 @@
 
 import pytest
 from test_platform_core import World, name
-from test_platform_lines import line
+from test_platform_lines import make_pool
 
 from foxlift import interface as fl
 from foxlift.platform import events as ev
@@ -25,103 +25,111 @@
 BOX = 11
 
 
-def handed_over(tag: str, node: int = BOX) -> bytes:
+def handover_line(tag: str, node: int = BOX) -> bytes:
     extras = f"home:0;copies:4;top:3;viewer:00000000b4d65521;at:s-{node:08x}"
     return start_line(tag, opts={"extras": extras})
 
 
-def at_box(world: World, tag: str) -> list[bytes]:
-    return [data.split(b" ")[0] for _, _, data in world.boxed if tag.encode() in data]
+def methods_sent(world: World, tag: str) -> list[bytes]:
+    return [data.split(b" ")[0] for _, _, data in world.sent_to_servers if tag.encode() in data]
 
 
 @pytest.mark.parametrize(("cause", "told"), [(16, [16]), (41, [41]), (31, [])])
-def test_an_end_that_a_box_tells_before_the_hand_over_reaches_the_viewer(cause: int, told: list[int]) -> None:
+def test_an_end_reported_by_the_server_before_the_handover_reaches_the_viewer(
+    cause: int, expected_causes: list[int]
+) -> None:
     world = World()
-    world.box(BOX, 101, rtsp_request("TEARDOWN", name(1), f"Reason: cause={cause}\r\n"))
-    world.viewer(handed_over(name(1)))
-    assert [m["rc"] for _, m in world.sent if m["verb"] == "FINISH"] == told
-    assert world.core.table_sizes()["sessions"] == (0 if told else 1)
+    world.receive_from_server(BOX, 101, rtsp_request("TEARDOWN", name(1), f"Reason: cause={cause}\r\n"))
+    world.receive_from_viewer(handover_line(name(1)))
+    assert [m["rc"] for _, m in world.sent_to_viewers if m["verb"] == "FINISH"] == expected_causes
+    assert world.core.table_sizes()["sessions"] == (0 if expected_causes else 1)
 
 
-def test_an_end_that_another_box_tells_says_nothing_of_the_session() -> None:
+def test_an_end_reported_by_another_server_does_not_end_the_session() -> None:
     world = World()
-    world.box(BOX + 1, 101, rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
-    world.viewer(handed_over(name(1)))
+    world.receive_from_server(BOX + 1, 101, rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
+    world.receive_from_viewer(handover_line(name(1)))
     assert world.core.table_sizes()["sessions"] == 1 and not world.verbs(name(1))
 
 
-def test_a_release_that_comes_before_its_hand_over_reaches_the_box() -> None:
+def test_a_release_before_the_handover_reaches_the_server() -> None:
     world = World()
-    world.viewer(finish_line(name(1), 16), conn=2)
-    world.viewer(handed_over(name(1)))
+    world.receive_from_viewer(finish_line(name(1), 16), conn=2)
+    world.receive_from_viewer(handover_line(name(1)))
     assert world.verbs(name(1)) == ["FINISHED"]  # heard, and nothing else is owed
-    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
+    assert methods_sent(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
 
 
-def test_a_release_while_the_hand_over_waits_for_the_list_reaches_the_box_once_it_is_named() -> None:
-    world = World(boxes={12: 1})
-    world.viewer(handed_over(name(1)))
-    world.viewer(finish_line(name(1), 16))
-    listed = World(boxes={BOX: 0, 12: 1}).config.known[0]
-    world.tell(ev.ListUpdated(listed))
-    assert at_box(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
+def test_a_release_while_the_handover_waits_for_the_list_reaches_the_server_once_listed() -> None:
+    world = World(servers={12: 1})
+    world.receive_from_viewer(handover_line(name(1)))
+    world.receive_from_viewer(finish_line(name(1), 16))
+    listed = World(servers={BOX: 0, 12: 1}).config.known[0]
+    world.handle(ev.ListUpdated(listed))
+    assert methods_sent(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
     world.pass_time(4000)
     assert world.verbs(name(1)) == ["FINISHED"]
 
 
-def test_a_hand_over_of_what_was_over_here_is_no_session_again() -> None:
+def test_a_handover_of_an_ended_session_starts_no_session() -> None:
     world = World()
-    node, conn = world.stand(name(1))
-    world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
-    world.viewer(handed_over(name(1), node))
-    world.viewer(handed_over(name(1), node))
+    node, conn = world.start_session(name(1))
+    world.receive_from_server(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
+    world.receive_from_viewer(handover_line(name(1), node))
+    world.receive_from_viewer(handover_line(name(1), node))
     assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not world.core.table_sizes()["sessions"]
 
 
-def test_a_release_on_a_connection_that_breaks_is_sent_again_unless_the_box_heard_it() -> None:
+def test_a_release_on_a_closed_connection_is_sent_again_unless_confirmed() -> None:
     world = World()
-    places = {k: world.stand(name(k)) for k in (1, 2)}
+    places = {k: world.start_session(name(k)) for k in (1, 2)}
     for k in (1, 2):
-        world.viewer(finish_line(name(k), 16))
+        world.receive_from_viewer(finish_line(name(k), 16))
     node, conn = places[1]
-    world.box(places[2][0], places[2][1], rtsp_answer(200, name(2), cseq=2))
+    world.receive_from_server(places[2][0], places[2][1], rtsp_answer(200, name(2), cseq=2))
     for broken in {places[1], places[2]}:
-        world.tell(ev.ServerConnectionLost(*broken))
-    assert at_box(world, name(1)) == [b"TEARDOWN"] * 2 and at_box(world, name(2)) == [b"TEARDOWN"]
-    assert world.boxed[-1][:2] == (node, 0)  # on any connection
+        world.handle(ev.ServerConnectionLost(*broken))
+    assert methods_sent(world, name(1)) == [b"TEARDOWN"] * 2 and methods_sent(world, name(2)) == [b"TEARDOWN"]
+    assert world.sent_to_servers[-1][:2] == (node, 0)  # on any connection
     for _ in range(5):
-        world.tell(ev.ServerConnectionLost(node, conn))
-    assert len(at_box(world, name(1))) == MAX_SENDS
+        world.handle(ev.ServerConnectionLost(node, conn))
+    assert len(methods_sent(world, name(1))) == MAX_SENDS
     world.pass_time(RELEASE_RETENTION_MS + 1)
-    world.stand(name(3))
+    world.start_session(name(3))
     assert not len(world.core.session_endings)
 
 
-def test_a_box_that_was_silent_too_long_is_told_of_the_ends_it_may_not_know() -> None:
+def test_a_server_lost_by_silence_gets_releases_of_its_sessions() -> None:
     world = World()
-    node, _ = world.stand(name(1))
-    world.tell(ev.ServerLost(node, "gone"))
-    assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not at_box(world, name(1))
-    world.tell(ev.ServerLost(*world.stand(name(2))[:1], server_pool.SILENT))
-    assert world.verbs(name(2)) == ["STARTED", "FINISH"] and at_box(world, name(2)) == [b"TEARDOWN"]
+    node, _ = world.start_session(name(1))
+    world.handle(ev.ServerLost(node, "gone"))
+    assert world.verbs(name(1)) == ["STARTED", "FINISH"] and not methods_sent(world, name(1))
+    world.handle(ev.ServerLost(*world.start_session(name(2))[:1], server_pool.SILENT))
+    assert world.verbs(name(2)) == ["STARTED", "FINISH"] and methods_sent(world, name(2)) == [b"TEARDOWN"]
 
 
 @pytest.mark.parametrize(("back", "lost"), [(4700.0, False), (4803.0, True)])
-def test_a_box_that_is_back_just_as_its_silence_is_too_long_may_be_a_new_one(back: float, lost: bool) -> None:
-    box = line()
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.DataReceived(1))
+def test_sessions_are_lost_if_a_silent_server_answers_just_before_the_timeout(
+    back: float, lost: bool
+) -> None:
+    receive_from_server = make_pool()
+    receive_from_server.handle(0, server_pool.SessionsChanged(1))
+    receive_from_server.handle(1, server_pool.ConnectionOpened(1))
+    receive_from_server.handle(2, server_pool.DataReceived(1))
     for now in range(100, int(back), 100):  # each try to reach it fails in its time
-        for action in box.handle(now, server_pool.Tick()):
+        for action in receive_from_server.handle(now, server_pool.Tick()):
             assert not isinstance(action, server_pool.SessionsLost)
-    opening = [conn for conn, held in box.connections.items() if not held.up]
-    said = box.handle(back, server_pool.ConnectionOpened(opening[-1])) if opening else []
+    opening = [
+        conn
+        for conn, client_connections in receive_from_server.connections.items()
+        if not client_connections.up
+    ]
+    said = receive_from_server.handle(back, server_pool.ConnectionOpened(opening[-1])) if opening else []
     assert opening and (server_pool.SessionsLost(server_pool.SILENT) in said) is lost
     assert said[-1] == server_pool.PingConnection(opening[-1])
 
 
-def test_words_and_releases_are_bounded_in_number_and_time() -> None:
+def test_recorded_ends_and_releases_are_bounded_in_number_and_time() -> None:
     table = SessionEndings()
     for k in range(2 * MAX_ENTRIES):
         table.record_end(0, name(k), EndSource.VIEWER, cause=16)
@@ -138,20 +146,30 @@
 
 
 @pytest.mark.parametrize("how", ["gone", "left out of a whole list"])
-def test_a_box_that_was_off_the_list_and_is_back_as_a_new_process_has_lost_what_stood(how: str) -> None:
+def test_a_server_relisted_as_a_new_process_has_lost_its_sessions(how: str) -> None:
     """Both in one look: its silence has not been noticed, and its new process answers tests."""
     world = World()
-    node, _ = world.stand(name(1))
-    other, _ = world.stand(name(2))
+    node, _ = world.start_session(name(1))
+    other, _ = world.start_session(name(2))
     before = world.config.known[0]
-    [entry] = [box for box in before.servers if box.info.node == node]
+    [entry] = [
+        receive_from_server for receive_from_server in before.servers if receive_from_server.info.node == node
+    ]
     if how == "gone":
         off = ListUpdate(2, False, (replace(entry, info=replace(entry.info, status=fl.Status.GONE)),))
     else:
-        off = ListUpdate(2, True, tuple(box for box in before.servers if box.info.node != node))
-    world.tell(ev.ListUpdated(off))
+        off = ListUpdate(
+            2,
+            True,
+            tuple(
+                receive_from_server
+                for receive_from_server in before.servers
+                if receive_from_server.info.node != node
+            ),
+        )
+    world.handle(ev.ListUpdated(off))
     world.now += 500
-    world.tell(
+    world.handle(
         ev.ListUpdated(
             ListUpdate(3, False, (replace(entry, info=replace(entry.info, started_ms=world.now - 10)),))
         )
@@ -160,21 +178,35 @@
     assert world.verbs(name(2)) == (["STARTED"] if other != node else ["STARTED", "FINISH"])
 
 
-def test_a_box_that_was_off_the_list_and_is_back_as_it_was_keeps_what_stands() -> None:
+def test_a_server_relisted_unchanged_keeps_its_sessions() -> None:
     world = World()
-    node, _ = world.stand(name(1))
+    node, _ = world.start_session(name(1))
     before = world.config.known[0]
-    world.tell(
-        ev.ListUpdated(ListUpdate(2, True, tuple(box for box in before.servers if box.info.node != node)))
+    world.handle(
+        ev.ListUpdated(
+            ListUpdate(
+                2,
+                True,
+                tuple(
+                    receive_from_server
+                    for receive_from_server in before.servers
+                    if receive_from_server.info.node != node
+                ),
+            )
+        )
     )
     for number, started in ((3, 0.0), (4, world.now - 10)):  # of before the session began
-        [entry] = [box for box in before.servers if box.info.node == node]
+        [entry] = [
+            receive_from_server
+            for receive_from_server in before.servers
+            if receive_from_server.info.node == node
+        ]
         info = replace(entry.info, started_ms=started)
-        world.tell(ev.ListUpdated(ListUpdate(number, False, (replace(entry, info=info),))))
+        world.handle(ev.ListUpdated(ListUpdate(number, False, (replace(entry, info=info),))))
     assert world.verbs(name(1)) == ["STARTED"]
 
 
-def test_set_ups_given_up_are_remembered_until_the_box_confirms_or_for_a_while() -> None:
+def test_abandoned_set_ups_are_recorded_until_confirmed_or_expired() -> None:
     table = SessionEndings()
     table.setup_abandoned(0, BOX, 5, name(1))
     assert table.is_abandoned(1, BOX, 5, name(1))
@@ -191,15 +223,17 @@
     assert not table._abandoned
 
 
-def test_a_box_that_started_anew_and_lost_its_address_in_one_event_costs_nothing_else() -> None:
+def test_a_server_that_restarts_and_loses_its_address_in_one_update_affects_no_others() -> None:
     world = World()
-    node, _ = world.stand(name(1))
+    node, _ = world.start_session(name(1))
     before = world.config.known[0]
-    [entry] = [box for box in before.servers if box.info.node == node]
+    [entry] = [
+        receive_from_server for receive_from_server in before.servers if receive_from_server.info.node == node
+    ]
     anew = replace(entry, info=replace(entry.info, started_ms=world.now + 10))
     taker = replace(entry, info=replace(entry.info, node=77, started_ms=world.now + 20))
     last = replace(entry, info=replace(entry.info, node=78), address=Address("10.0.0.78", 5060))
     world.now += 500
-    world.tell(ev.ListUpdated(ListUpdate(2, False, (anew, taker, last))))
+    world.handle(ev.ListUpdated(ListUpdate(2, False, (anew, taker, last))))
     assert world.verbs(name(1)) == ["STARTED", "FINISH"]
     assert {77, 78} <= set(world.core.module.nodes) and node not in world.core.module.nodes
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -43,7 +43,7 @@
     return f"{number:016x}"
 
 
-def held(world: Scene) -> list[ClientConnection]:
+def client_connections(world: Scene) -> list[ClientConnection]:
     return list(world.director._clients.values())
 
 
@@ -127,7 +127,7 @@
         b"RTSP/1.0 200 " + b"h" * 20000,
     ],
 )
-def test_a_spoilt_answer_costs_its_own_session_only(tmp_path: Path, spoilt: bytes) -> None:
+def test_an_invalid_answer_affects_its_own_session_only(tmp_path: Path, spoilt: bytes) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             viewer = await world.viewer()
@@ -156,7 +156,7 @@
     play(test)
 
 
-def test_bad_viewers_are_closed_and_good_ones_served_meanwhile(tmp_path: Path) -> None:
+def test_invalid_viewers_are_closed_and_valid_ones_served_meanwhile(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, sockets=128) as world:
             good = await world.viewer()
@@ -186,7 +186,7 @@
     play(test)
 
 
-def test_sixty_megabytes_in_one_line_are_not_kept(tmp_path: Path) -> None:
+def test_sixty_megabytes_in_one_line_are_not_buffered(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -202,59 +202,59 @@
     play(test)
 
 
-async def deafened(world: Scene) -> tuple[Viewer, bytes]:
+async def connect_unreading_viewer(world: Scene) -> tuple[Viewer, bytes]:
     """A viewer that does not read, once the director has answers that it cannot write; and what it asks.
 
     The kernel's buffers are made small and a little is asked at a time: had much more come at once than fits,
     the director would have dropped the viewer, and the wait for its full buffer would never end.
     """
-    deaf = await world.viewer(SMALL_BUFFER)
-    return deaf, await deafen(world, deaf)
+    unreading = await world.viewer(SMALL_BUFFER)
+    return unreading, await stop_reading(world, unreading)
 
 
-async def deafen(world: Scene, deaf: Viewer) -> bytes:
+async def stop_reading(world: Scene, unreading: Viewer) -> bytes:
     """The only viewer there reads no more, and has asked so much that answers are unsent; what it asks.
 
     It has connected with a `SMALL_BUFFER`.
     """
     echo = b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % name(1).encode() * 100
-    deaf.send(echo)
-    await deaf.answer(name(1))
-    transport = held(world)[0].transport
+    unreading.send(echo)
+    await unreading.answer(name(1))
+    transport = client_connections(world)[0].transport
     assert transport is not None
     director_side = transport.get_extra_info("socket")
     director_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
-    deaf.reader._transport.pause_reading()  # type: ignore[attr-defined]
+    unreading.reader._transport.pause_reading()  # type: ignore[attr-defined]
     while not unsent(world):
-        await asks_more(world, deaf, echo)
+        await send_more(world, unreading, echo)
     return echo
 
 
-async def asks_more(world: Scene, deaf: Viewer, echo: bytes) -> None:
+async def send_more(world: Scene, unreading: Viewer, echo: bytes) -> None:
     """Nothing is kept here: a director that reads no more must not fill this process's memory."""
-    assert held(world), "dropped"
-    if not deaf.writer.transport.get_write_buffer_size():
-        deaf.writer.write(echo)
+    assert client_connections(world), "dropped"
+    if not unreading.writer.transport.get_write_buffer_size():
+        unreading.writer.write(echo)
     await asyncio.sleep(0)
 
 
 def unsent(world: Scene) -> int:
-    open_ones = [viewer.transport for viewer in held(world) if viewer.transport]
+    open_ones = [viewer.transport for viewer in client_connections(world) if viewer.transport]
     return max((transport.get_write_buffer_size() for transport in open_ones), default=0)
 
 
-def test_a_viewer_that_does_not_read_is_not_read_from(tmp_path: Path) -> None:
+def test_nothing_is_read_from_a_viewer_that_does_not_read(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            deaf, echo = await deafened(world)
-            deaf.writer.write(echo * 1000)
+            unreading, echo = await connect_unreading_viewer(world)
+            unreading.writer.write(echo * 1000)
             good = await world.viewer()
             for k in range(20):
                 good.send(start_line(name(k), opts={"left": "60000"}))
                 answer = await good.answer(name(k))
                 assert answer is not None and answer["verb"] == "STARTED"
             assert 0 < unsent(world) < 300_000
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
     play(test)
 
@@ -262,17 +262,17 @@
 def test_a_viewer_that_does_not_read_cannot_keep_a_closed_connection(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            deaf, _ = await deafened(world)
-            [connection] = held(world)
+            unreading, _ = await connect_unreading_viewer(world)
+            [connection] = client_connections(world)
             connection.close()
-            while held(world):
+            while client_connections(world):
                 await asyncio.sleep(0.01)
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
     play(test)
 
 
-def test_a_box_that_dies_releases_its_sessions_and_refuses_nothing_else(tmp_path: Path) -> None:
+def test_a_server_that_dies_releases_its_sessions_and_affects_no_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -292,7 +292,7 @@
     play(test)
 
 
-def test_a_reset_connection_with_sessions_is_opened_again_and_hears_their_end(tmp_path: Path) -> None:
+def test_a_reset_connection_with_sessions_is_reopened_and_receives_their_end(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -310,7 +310,7 @@
     play(test)
 
 
-def test_a_set_up_that_is_never_answered_is_given_up_at_its_box(tmp_path: Path) -> None:
+def test_an_unanswered_set_up_is_cancelled_at_its_server(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -325,7 +325,7 @@
     play(test)
 
 
-def test_a_release_finds_its_viewer_on_another_connection_or_the_next(tmp_path: Path) -> None:
+def test_a_release_reaches_its_viewer_on_another_connection_or_the_next(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             first = await world.viewer()
@@ -350,37 +350,37 @@
     play(test)
 
 
-def test_a_release_that_crosses_the_end_of_an_idle_connection_is_heard(tmp_path: Path) -> None:
+def test_a_release_that_crosses_the_retirement_of_an_idle_connection_is_received(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__keepalive_ms=1.0) as world:
             viewer = await world.viewer()
-            held: list[tuple[str, bytes, asyncio.StreamWriter]] = []
+            client_connections: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
             def hold(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
-                held.append((tag, body, writer))
-                return len(held) < 3
+                client_connections.append((tag, body, writer))
+                return len(client_connections) < 3
 
             [box] = world.boxes
             box.behave = hold
             for k in (1, 2, 3):
                 viewer.send(start_line(name(k), opts={"left": "60000"}))
-            await box.until(lambda: len(held) == 3)
-            for tag, body, writer in held[:2]:
+            await box.until(lambda: len(client_connections) == 3)
+            for tag, body, writer in client_connections[:2]:
                 writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
             for _ in range(3):
                 answer = await viewer.read()
                 assert answer is not None and answer["verb"] == "STARTED"
             while not world.director.count["box connections retired"]:
                 await asyncio.sleep(0.005)
-            for tag, _, writer in held:  # each on the connection of its set-up, retired or not
+            for tag, _, writer in client_connections:  # each on the connection of its set-up, retired or not
                 writer.write(rtsp_request("TEARDOWN", tag, "Reason: cause=16\r\n"))
             over = {m["tag"] for m in [await viewer.read() for _ in range(3)] if m and m["verb"] == "FINISH"}
-            assert over == {tag for tag, _, _ in held}
+            assert over == {tag for tag, _, _ in client_connections}
 
     play(test)
 
 
-def test_drains_are_kept_and_a_new_coordinator_is_heard(tmp_path: Path) -> None:
+def test_drains_persist_and_a_new_coordinator_is_used(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             await world.feed.connected.wait()
@@ -414,7 +414,7 @@
     play(test)
 
 
-def test_a_connection_is_kept_for_each_box_with_sessions_only_and_descriptors_are_bounded(
+def test_connections_are_kept_for_servers_with_sessions_only_and_descriptors_are_bounded(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -434,7 +434,7 @@
     play(test)
 
 
-def test_a_fault_in_the_program_costs_one_connection_and_a_line(tmp_path: Path) -> None:
+def test_an_uncaught_exception_closes_one_connection_and_is_logged(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             director = world.director
@@ -466,7 +466,7 @@
     play(test)
 
 
-def test_time_that_a_request_lay_unread_is_taken_off_the_viewers(tmp_path: Path) -> None:
+def test_the_time_a_request_was_unread_is_subtracted_from_the_viewers(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             first, second = await world.viewer(), await world.viewer()
@@ -493,7 +493,7 @@
     play(test)
 
 
-def test_a_feed_that_breaks_inside_an_event_is_asked_again_from_the_last_one_held(tmp_path: Path) -> None:
+def test_a_watch_closed_inside_a_frame_requests_from_the_last_update_received(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             await world.feed.connected.wait()
@@ -509,7 +509,7 @@
     play(test)
 
 
-def test_the_last_lines_hold_what_is_believed_against_the_connections(tmp_path: Path) -> None:
+def test_the_last_log_lines_hold_the_usage_of_each_server(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             viewer = await world.viewer()
@@ -535,13 +535,13 @@
 
 
 @pytest.mark.parametrize("data", [b"{}", b"{", config([member(1, "127.0.0.1:7")], listen="127.0.0.1:x")])
-def test_a_bad_configuration_is_one_line_and_an_exit_code(tmp_path: Path, data: bytes) -> None:
+def test_an_invalid_configuration_gives_one_line_and_an_exit_code(tmp_path: Path, data: bytes) -> None:
     with process(tmp_path, data) as director:
         _, text = director.communicate(timeout=30)
     assert director.returncode == 2 and len(text.splitlines()) == 1 and b"configuration" in text
 
 
-def test_little_is_imported_in_service() -> None:
+def test_few_modules_are_imported_in_service() -> None:
     code = "import foxlift.platform.transport, sys; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -563,7 +563,7 @@
         assert heavy not in loaded
 
 
-def test_stop_answers_what_came_and_what_still_comes(tmp_path: Path) -> None:
+def test_a_stop_answers_received_and_late_requests(tmp_path: Path) -> None:
     async def test() -> None:
         box = await StandInBox().start()
         address = free_address()
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -19,8 +19,8 @@
 import pytest
 from platform_world import config, member, settings
 from ports import free_address
-from test_platform_crossings import Leaver, left_by, push, sent, served, stands_still
-from test_platform_sockets import Scene, held, name, play, process, scene
+from test_platform_crossings import Leaver, left_by, push, sent, serve_another, stall_loop
+from test_platform_sockets import Scene, client_connections, name, play, process, scene
 
 from foxlift.platform import admission, server_pool
 from foxlift.platform.buffers import HIGH_WATER_BYTES
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("late_ms", [5.0, 50.0])  # a stall is long or the time-out came due near its end
 @pytest.mark.parametrize("klass", ["paid", "free"])
 @pytest.mark.parametrize("order", CROSSING, ids=["-".join(order) for order in CROSSING])
-def test_ready_in_one_turn_they_make_one_end(
+def test_events_ready_in_one_iteration_give_one_end(
     tmp_path: Path, order: tuple[str, ...], klass: str, late_ms: float
 ) -> None:
     async def test() -> None:
@@ -122,7 +122,7 @@
                         due = core.attempts.timeout_at(number) - world.director.timeline.now()
                         time.sleep((due + late_ms) / 1000)
 
-            done = stands_still(world, meanwhile)
+            done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
             assert await other.answer(name(9)) and done.is_set()
             await settled(world)
@@ -139,7 +139,7 @@
     play(test)
 
 
-def test_take_backs_behind_fifty_set_ups_in_one_read_keep_theirs_from_every_box(tmp_path: Path) -> None:
+def test_cancels_after_fifty_set_ups_in_one_read_keep_theirs_from_every_server(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -158,7 +158,7 @@
     play(test)
 
 
-def test_a_take_back_behind_the_written_set_up_is_told_to_the_box_and_its_answer_to_nobody(
+def test_a_cancel_after_the_write_reaches_the_server_and_the_answer_is_ignored(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -179,7 +179,7 @@
             [(_, body, writer)] = out
             put(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
             world.director.core.take_setup = take  # type: ignore[method-assign]
-            await served(world, 2)
+            await serve_another(world, 2)
             assert [m["verb"] for m in await told(viewer, 99)] == ["FINISHED"]
             assert world.director.core.counts["answer that belongs to nothing"] == 1
 
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("confirms", [True, False], ids=["box confirms", "box does not"])
-def test_an_id_used_again_does_not_get_the_answer_of_the_attempt_that_was_taken_back(
+def test_a_reused_tag_does_not_get_the_answer_of_the_cancelled_attempt(
     tmp_path: Path, confirms: bool
 ) -> None:
     async def test() -> None:
@@ -219,7 +219,7 @@
 
 # ---- Waiting in the module --------------------------------------------------------------------------------
 @left_by
-def test_left_while_the_module_held_the_request(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_while_the_module_holds_its_request(tmp_path: Path, leave: str) -> None:
     seats = settings()["categories"]
     for entry in seats:
         entry["aim_ms"] = entry["deadline_ms"] = 60_000.0
@@ -241,10 +241,10 @@
                 viewer.leave(leave)
                 time.sleep(0.06)  # the loop stands still past the next look at what is held
 
-            done = stands_still(world, meanwhile)
+            done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
             assert await other.answer(name(9)) and done.is_set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0 and not core.module.held
 
     play(test)
@@ -253,7 +253,7 @@
 # ---- Reuse against a close --------------------------------------------------------------------------------
 @pytest.mark.parametrize("klass", ["paid", "free"])
 @pytest.mark.parametrize("how", ["end of stream", "reset"])
-def test_a_set_up_that_comes_with_the_end_of_the_idle_connection_leaves_on_another(
+def test_a_set_up_that_arrives_as_the_idle_connection_closes_is_sent_on_another(
     tmp_path: Path, how: str, klass: str
 ) -> None:
     async def test() -> None:
@@ -270,7 +270,7 @@
                 with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as far:
                     far.shutdown(socket.SHUT_WR)
 
-            done = stands_still(world, meanwhile)
+            done = stall_loop(world, meanwhile)
             viewer.send(start_line(name(1), klass, opts=HELD))
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["verb"] == "STARTED" and done.is_set()
@@ -281,7 +281,7 @@
 
 @pytest.mark.parametrize("how", ["read, end of stream", "read, reset", "not read, reset"])
 @pytest.mark.parametrize("klass", ["paid", "free"])
-def test_a_set_up_whose_bytes_were_written_as_the_box_closed_is_sent_again_only_if_it_may_be(
+def test_a_set_up_written_as_the_server_closed_is_sent_again_only_if_repeatable(
     tmp_path: Path, how: str, klass: str
 ) -> None:
     async def test() -> None:
@@ -334,7 +334,7 @@
 
 @pytest.mark.parametrize("first", FIRST)
 @pytest.mark.parametrize("apart", [False, True], ids=["in one read", "later"])
-def test_a_second_answer_is_nobodys(tmp_path: Path, first: str, apart: bool) -> None:
+def test_a_second_answer_is_ignored(tmp_path: Path, first: str, apart: bool) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -368,7 +368,7 @@
     play(test)
 
 
-def test_an_answer_of_a_set_up_that_went_on_to_another_box_is_nobodys(tmp_path: Path) -> None:
+def test_an_answer_to_a_set_up_retried_at_another_server_is_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
@@ -396,7 +396,7 @@
     play(test)
 
 
-def test_a_release_behind_the_answer_in_one_read_ends_what_has_just_begun(tmp_path: Path) -> None:
+def test_a_release_after_the_answer_in_one_read_ends_the_new_session(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             [box] = world.boxes
@@ -415,7 +415,7 @@
 
 
 # ---- The tick ---------------------------------------------------------------------------------------------
-def test_a_fault_in_the_tick_of_a_stopping_director_does_not_stop_the_stop(tmp_path: Path) -> None:
+def test_an_exception_in_the_tick_does_not_prevent_a_stop(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             director, faults = world.director, 0
@@ -443,7 +443,9 @@
     play(test)
 
 
-def test_half_a_line_that_is_late_costs_its_connection_and_what_was_asked_on_it_only(tmp_path: Path) -> None:
+def test_an_overdue_partial_line_closes_its_connection_and_withdraws_its_requests_only(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with scene(tmp_path, boxes=1) as world:
             [box] = world.boxes
@@ -457,14 +459,14 @@
             for tag, body, writer in out:
                 put(writer, rtsp_answer(200, tag, b"box\r\n" + body))
             answer = await good.answer(name(2))
-            assert answer is not None and answer["verb"] == "STARTED" and len(held(world)) == 1
+            assert answer is not None and answer["verb"] == "STARTED" and len(client_connections(world)) == 1
 
     play(test)
 
 
 # ---- Time that is up ---------------------------------------------------------------------------------------
 @pytest.mark.parametrize("klass", ["paid", "free"])
-def test_a_set_up_does_not_leave_after_its_own_time_though_its_connection_came_first(
+def test_a_set_up_is_not_sent_after_its_time_limit_though_its_connection_opened_before(
     tmp_path: Path, klass: str
 ) -> None:
     async def test() -> None:
@@ -490,13 +492,13 @@
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 34)
             director.servers.connection_opened = up  # type: ignore[method-assign]
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
     play(test)
 
 
-def test_set_ups_do_not_lie_behind_what_a_box_does_not_read(tmp_path: Path) -> None:
+def test_set_ups_are_not_buffered_behind_bytes_that_a_server_does_not_read(tmp_path: Path) -> None:
     """They would leave long after their viewers: nothing tells when a box reads again."""
 
     async def test() -> None:
@@ -530,7 +532,7 @@
 
 
 @pytest.mark.parametrize("when", ["in a stop", "while the list is silent"])
-def test_bad_input_costs_its_own_connection_only(tmp_path: Path, when: str) -> None:
+def test_invalid_input_affects_its_own_connection_only(tmp_path: Path, when: str) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             director = world.director
@@ -560,7 +562,9 @@
             for viewer in bad:
                 assert await viewer.read() is None
             # one of the two answers is spoilt: it costs its own session
-            [(first, _, spoilt), (second, body, writer)] = [held for each in out for held in each]
+            [(first, _, spoilt), (second, body, writer)] = [
+                client_connections for each in out for client_connections in each
+            ]
             put(spoilt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
             answer = await good.answer(first)
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
@@ -576,7 +580,7 @@
 
 
 # ---- As a process ------------------------------------------------------------------------------------------
-def test_who_reads_the_log_may_go_away_and_nobody_else_notices(tmp_path: Path) -> None:
+def test_a_closed_reader_of_the_log_does_not_disturb_service(tmp_path: Path) -> None:
     async def test() -> None:
         box, feed = await StandInBox().start(), await StandInCoordinator().start()
         address = free_address()
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -36,7 +36,7 @@
     world.director.reload()
 
 
-def test_a_connection_that_comes_up_as_it_is_given_up_is_closed_and_another_is_heard(
+def test_a_connection_that_opens_as_it_times_out_is_closed_and_another_is_used(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = DiscoveryConnection.connection_made
@@ -66,7 +66,7 @@
     play(test)
 
 
-def test_a_reload_in_the_start_leaves_one_watch_that_is_heard(tmp_path: Path) -> None:
+def test_a_reload_during_the_start_leaves_one_working_watch(tmp_path: Path) -> None:
     async def test() -> None:
         feeds = [await StandInCoordinator().start() for _ in range(2)]
         box = await StandInBox().start()
@@ -92,7 +92,7 @@
     play(test)
 
 
-def test_frames_of_the_old_coordinator_behind_the_new_ones_first_say_nothing(tmp_path: Path) -> None:
+def test_frames_of_the_former_coordinator_after_the_first_of_the_new_one_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             await world.feed.connected.wait()
@@ -117,7 +117,7 @@
     play(test)
 
 
-def test_a_whole_list_after_a_gap_leaves_cold_boxes_cold_warm_ones_warm_and_drained_ones_drained(
+def test_a_full_list_after_a_gap_keeps_servers_cold_warm_or_draining(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -156,7 +156,7 @@
     play(test)
 
 
-def test_a_drain_in_one_read_with_a_whole_list_that_omits_the_box_keeps_a_set_up_from_it(
+def test_a_drain_read_together_with_a_full_list_without_the_server_stops_a_set_up_to_it(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("how", ["refused", "silent"])
-def test_two_hundred_directors_come_back_soon_and_not_in_step(how: str) -> None:
+def test_two_hundred_directors_reconnect_soon_and_not_at_the_same_moment(how: str) -> None:
     """The coordinator is down: connections break and are refused, or it and its address fall silent."""
     feeds = [discovery_watch.DiscoveryWatch(Address("10.0.0.1", 4222), 1, seed) for seed in range(DIRECTORS)]
     queue: list[tuple[float, int, int, discovery_watch.Event]] = []
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -42,7 +42,7 @@
 
 
 # ---- Which ports ------------------------------------------------------------------------------------------
-def test_what_is_handed_out_lies_outside_the_ephemeral_range_of_this_machine() -> None:
+def test_allocated_ports_lie_outside_the_ephemeral_range_of_this_machine() -> None:
     assert not set(fixed_ports(ephemeral_ports())) & set(ephemeral_ports())
     assert all(port_of(free_address()) not in ephemeral_ports() for _ in range(20))
 
@@ -61,7 +61,7 @@
     assert fixed_ports(ephemeral) == expected
 
 
-def test_workers_have_disjoint_parts_that_are_the_whole_range_together() -> None:
+def test_the_ranges_of_the_workers_are_disjoint_and_cover_the_full_range() -> None:
     ports = fixed_ports(ephemeral_ports())
     parts = [
         worker_ports(ports, {"PYTEST_XDIST_WORKER": f"gw{k}", "PYTEST_XDIST_WORKER_COUNT": str(WORKERS)})
@@ -75,13 +75,13 @@
     assert worker_ports(range(10, 20), {}) == range(10, 20)
 
 
-def test_a_worker_in_the_place_of_a_crashed_one_has_a_part_too() -> None:
+def test_a_worker_that_replaces_a_crashed_one_has_a_range_too() -> None:
     replaced = {"PYTEST_XDIST_WORKER": "gw4", "PYTEST_XDIST_WORKER_COUNT": "4"}
     assert worker_ports(range(10, 20), replaced) == range(10, 20, 4)
 
 
 # ---- Handed out once --------------------------------------------------------------------------------------
-def test_no_port_is_handed_out_twice_even_when_it_is_let_go() -> None:
+def test_no_port_is_allocated_twice_even_after_its_release() -> None:
     handed_out = []
     for _ in range(20):
         handed_out.append(port_of(free_address()))
@@ -89,7 +89,7 @@
     assert len(set(handed_out)) == len(handed_out)
 
 
-def test_a_port_where_somebody_listens_is_passed_over() -> None:
+def test_a_port_with_a_listener_is_skipped() -> None:
     [taken] = next_ports(1)
     with listener_unless_in_use(taken):
         assert allocator().allocate() > taken
@@ -102,7 +102,7 @@
         return contextlib.nullcontext()
 
 
-def test_two_runs_of_the_tests_with_the_same_ports_never_have_one_at_once() -> None:
+def test_two_test_runs_with_the_same_ports_never_hold_one_at_the_same_time() -> None:
     ports = next_ports(40)
     runs = [PortAllocator(ports), PortAllocator(ports)]
     handed_out = [run.allocate() for _ in range(10) for run in runs]
@@ -111,7 +111,7 @@
         run.release_all()
 
 
-def test_with_no_port_left_it_says_so() -> None:
+def test_an_exhausted_range_raises_an_error() -> None:
     ports = PortAllocator(next_ports(2))
     with pytest.raises(NoPortLeftError, match="no port left of range"):
         for _ in range(3):
@@ -119,7 +119,7 @@
     ports.release_all()
 
 
-def test_a_port_is_held_while_a_test_runs_and_let_go_after_it() -> None:
+def test_a_port_is_reserved_while_a_test_runs_and_released_after_it() -> None:
     port = allocator().allocate()
     with pytest.raises(OSError, match="in use"):
         HeldPort(port)
@@ -128,7 +128,7 @@
 
 
 # ---- Held -------------------------------------------------------------------------------------------------
-def test_a_held_port_refuses_connections() -> None:
+def test_a_reserved_port_refuses_connections() -> None:
     held = HeldPort()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection((HOST, held.port))
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("run", [asyncio.run, uvloop.run])
-def test_a_listener_binds_a_held_port_closes_and_binds_it_again(
+def test_a_listener_can_bind_a_reserved_port_close_and_bind_it_again(
     run: Callable[[Coroutine[None, None, None]], None],
 ) -> None:
     held = HeldPort()
@@ -159,7 +159,7 @@
     held.release()
 
 
-def test_a_held_port_is_not_to_be_had_without_reuse_and_is_once_it_is_released() -> None:
+def test_a_reserved_port_cannot_be_bound_without_reuse_until_its_release() -> None:
     held = HeldPort()
     with pytest.raises(OSError, match="in use"):
         HeldPort(held.port)
@@ -168,14 +168,14 @@
     HeldPort(held.port).release()
 
 
-def test_a_port_is_let_go_with_its_last_reference() -> None:
+def test_a_port_is_released_with_its_last_reference() -> None:
     held = HeldPort()
     port = held.port
     del held
     HeldPort(port).release()
 
 
-def test_the_kernel_gives_no_held_port_to_outgoing_connections_or_to_listeners_at_port_0() -> None:
+def test_the_kernel_never_picks_a_reserved_port_for_connections_or_listeners_at_port_0() -> None:
     held_ports = [HeldPort() for _ in range(HELD_PORTS)]
     numbers = {held.port for held in held_ports}
     assert len(numbers) == HELD_PORTS
