--- a/tests/confined.py
+++ b/tests/confined.py
@@ -1,7 +1,7 @@
-"""Starts a command under a filter of system calls, as the operators' fleet test does: one process only.
+"""Starts a command under a system call filter, as the operators' fleet test does: one process only.
 
-`python tests/confined.py COMMAND ...`. A call that a director must never make ends it with SIGSYS; what the
-operators refuse with an error, for a program to do without, is refused with that error. x86-64 Linux only.
+`python tests/confined.py COMMAND ...`. A call that a director must never make kills it with SIGSYS; calls
+that the operators refuse with an error, so that programs fall back, get it here too. x86-64 Linux only.
 """
 
 from __future__ import annotations
@@ -21,18 +21,21 @@
 
 KILLED = {"sendfile": 40, "fork": 57, "vfork": 58, "splice": 275, "tee": 276, "vmsplice": 278}
 KILLED |= {"io_uring_enter": 426, "io_uring_register": 427}
-REFUSED = {"io_uring_setup": 425, "clone3": 435}  # first tries of loop and C library; both know another way
+REFUSED = {
+    "io_uring_setup": 425,
+    "clone3": 435,
+}  # tried first by the event loop and the C library, which both fall back
 CLONE, SOCKET = 56, 41
 
 
 def program() -> list[tuple[int, int, int, int]]:
-    """Operation, jump if true, jump if false, operand."""
+    """Return the BPF program: operation, jump if true, jump if false, operand of each instruction."""
     made = [(LOAD, 0, 0, ARCH), (EQUAL, 1, 0, ARCH_X86_64), (RETURN, 0, 0, KILL), (LOAD, 0, 0, NUMBER)]
     for number in KILLED.values():
         made += [(EQUAL, 0, 1, number), (RETURN, 0, 0, KILL)]
     for number in REFUSED.values():
         made += [(EQUAL, 0, 1, number), (RETURN, 0, 0, REFUSE | errno.ENOSYS)]
-    # a thread is no process; a socket pair within the process is no way to another
+    # clone is allowed for threads only; socket(AF_UNIX) is forbidden, a socket pair within the process is not
     made += [(EQUAL, 0, 4, CLONE), (LOAD, 0, 0, FIRST_ARGUMENT), (ANY_BIT, 1, 0, CLONE_THREAD)]
     made += [(RETURN, 0, 0, KILL), (RETURN, 0, 0, ALLOW)]
     made += [(EQUAL, 0, 3, SOCKET), (LOAD, 0, 0, FIRST_ARGUMENT), (EQUAL, 0, 1, AF_UNIX)]
@@ -41,14 +44,14 @@
 
 
 def confine() -> None:
-    """Put the filter on this process and all that it becomes. Raises OSError where the kernel will not."""
+    """Install the filter for this process and its successors. Raises OSError if the kernel refuses."""
     code = b"".join(struct.pack("HBBI", *step) for step in program())
     steps = ctypes.create_string_buffer(code)
     header = struct.pack("HxxxxxxP", len(code) // 8, ctypes.addressof(steps))
     libc = ctypes.CDLL(None, use_errno=True)
     no_new_privileges, set_filter, by_filter = 38, 22, 2
     if libc.prctl(no_new_privileges, 1, 0, 0, 0) or libc.prctl(set_filter, by_filter, header):
-        raise OSError(ctypes.get_errno(), "the kernel takes no filter")
+        raise OSError(ctypes.get_errno(), "the kernel refuses the system call filter")
 
 
 if __name__ == "__main__":
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""A platform director's configuration."""
+"""Builds configurations of a platform director for tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def settings(**more: Any) -> dict[str, Any]:
-    """The settings object as the platform nests it."""
+    """Return the settings object, nested as the platform does; `group__name=value` replaces one."""
     made: dict[str, Any] = {
         "balancers": 2,
         "ordinal": 0,
@@ -65,7 +65,7 @@
 def member(
     number: int, address: str, cell: int = 0, phase: str = "active", started: float = 0
 ) -> dict[str, Any]:
-    """A box as the configuration lists it."""
+    """Return a server's entry in the configured list."""
     return {
         "id": f"s-{number:08x}",
         "host_port": address,
@@ -85,7 +85,7 @@
     sockets: int = 256,
     **more: Any,
 ) -> bytes:
-    """A director's configuration file."""
+    """Return the bytes of a director's configuration file."""
     return json.dumps(
         {
             "name": "n0",
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,8 +1,8 @@
-"""Ports that a test has to know before the process that listens there is started.
+"""Allocates ports that a test has to know before the process that listens there starts.
 
-They come from outside the kernel's ephemeral range, so no outgoing connection and no listener at port 0 takes
-one. Each xdist worker has ports of its own, hands out each of them once, and holds it until the test is over;
-a port that another process uses or holds, as another run of the tests may, is passed over.
+They lie outside the kernel's ephemeral range, so no outgoing connection and no listener at port 0 gets one.
+Each xdist worker has its own ports, allocates each of them once, and reserves it until the test ends. Ports
+that another process uses or reserves, such as another test run, are skipped.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from foxlift.standins.held_port import HeldPort
 
 EPHEMERAL_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-LOWEST_PORT = 10_000  # below it well-known services listen
+LOWEST_PORT = 10_000  # well-known services listen below it
 HIGHEST_PORT = 65_535
 HOST = "127.0.0.1"
 
 
 class NoPortLeftError(RuntimeError):
-    """Every port of this worker has been handed out or is in use."""
+    """Every port of this worker has been allocated or is in use."""
 
 
 class PortAllocator:
-    """Hands out each of its ports at most once."""
+    """Allocates each of its ports at most once."""
 
     def __init__(self, ports: range) -> None:
         self._ports = ports
@@ -34,7 +34,7 @@
         self._held: list[HeldPort] = []
 
     def allocate(self) -> int:
-        """The next port that is free; it is held until `release_all`."""
+        """Return the next free port; it is reserved until `release_all`."""
         for port in self._left:
             try:
                 self._held.append(HeldPort(port, HOST))
@@ -43,33 +43,33 @@
                     raise
             else:
                 return port
-        raise NoPortLeftError(f"no port left of {self._ports}")
+        raise NoPortLeftError(f"no free port left in {self._ports}")
 
     def release_all(self) -> None:
-        """Let all ports go that were handed out; none of them is handed out again."""
+        """Release all reserved ports; none of them is allocated again."""
         for held in self._held:
             held.release()
         self._held.clear()
 
 
 def ephemeral_ports() -> range:
-    """The ports that the kernel picks from for outgoing connections and for listeners at port 0."""
+    """Return the ports the kernel uses for outgoing connections and for listeners at port 0."""
     first, last = map(int, EPHEMERAL_RANGE_FILE.read_text().split())
     return range(first, last + 1)
 
 
 def fixed_ports(ephemeral: range) -> range:
-    """The longer of the two ranges below and above the ephemeral one."""
+    """Return the longer of the two ranges below and above the ephemeral one."""
     below = range(LOWEST_PORT, max(ephemeral.start, LOWEST_PORT))
     above = range(max(ephemeral.stop, LOWEST_PORT), HIGHEST_PORT + 1)
     return max(below, above, key=len)
 
 
 def worker_ports(ports: range, environment: Mapping[str, str]) -> range:
-    """A worker's own part of the ports.
+    """Return a worker's own part of the ports.
 
-    A worker that xdist starts in the place of a crashed one has the part of another worker; what that other
-    holds is passed over.
+    A worker that xdist starts to replace a crashed one shares the part of another worker; ports reserved by
+    that worker are skipped.
     """
     workers = int(environment.get("PYTEST_XDIST_WORKER_COUNT", "1"))
     number = int(environment.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
@@ -78,10 +78,10 @@
 
 @cache
 def allocator() -> PortAllocator:
-    """The one of this process."""
+    """Return the allocator of this process."""
     return PortAllocator(worker_ports(fixed_ports(ephemeral_ports()), os.environ))
 
 
 def free_address() -> str:
-    """An address where nobody listens, for a listener of the running test."""
+    """Return an address without a listener, for the running test to listen on."""
     return f"{HOST}:{allocator().allocate()}"
--- a/tests/test_platform_admission.py
+++ b/tests/test_platform_admission.py
@@ -1,6 +1,6 @@
 """Which connection from clients a platform director closes for a new one, and which it keeps.
 
-The decisions in virtual time; what they mean for a client on loopback sockets, with the real director.
+The decisions are tested in virtual time, their effect on clients on loopback sockets with the real director.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def admission(most: int, proven: int = 0) -> ConnectionAdmission:
-    """Connections numbered from 1 that have sent a message at time 0 and are quiet since."""
+    """An admission whose connections 1 to `proven` sent a message at time 0 and are idle since."""
     made = ConnectionAdmission(most)
     for conn in range(1, proven + 1):
         made.opened(0, conn)
@@ -39,12 +39,10 @@
 
 def test_a_partial_message_keeps_its_connection_while_there_is_an_idle_one() -> None:
     connections = admission(8, proven=8)
-    connections.received(9_000, 1, proven=False, partial=True)  # one that has been served before
+    connections.received(9_000, 1, proven=False, partial=True)  # one that is proven
     connections.opened(9_000, 9)
     connections.received(9_000, 9, proven=False, partial=True)
-    connections.opened(
-        9_600, 10
-    )  # the newcomer has had the time of a first message by now, and sent half of it
+    connections.opened(9_600, 10)  # the newcomer is past its grace time and has sent a partial message
     assert connections.surplus(9_600) == [2, 3]
 
 
@@ -56,7 +54,7 @@
 
 
 def test_hundreds_of_connections_without_bytes_evict_each_other() -> None:
-    """However many say nothing, three quarters of the places stay with those who have sent a request."""
+    """However many send nothing, three quarters of the connections stay with proven clients."""
     connections = admission(100, proven=100)
     closed: list[int] = []
     for k in range(500):
@@ -81,7 +79,7 @@
     for conn in range(1, 5):
         connections.sessions_changed(conn, 1)
     connections.opened(10_000, 5)
-    assert connections.surplus(10_000) == [5]  # nothing else can go
+    assert connections.surplus(10_000) == [5]  # nothing else may be evicted
     connections.sessions_changed(2, -1)
     connections.opened(10_001, 6)
     assert connections.surplus(10_001) == [2]
@@ -99,16 +97,16 @@
 
 def test_few_connections_exceed_the_bound_until_all_sockets_are_read() -> None:
     connections = admission(8, proven=8)
-    skip_arrival_window = [connections.opened(10_000, 100 + k) for k in range(200)]
-    assert all(closed is None for closed in skip_arrival_window[:MAX_OVERSHOOT])
-    assert all(closed is not None for closed in skip_arrival_window[MAX_OVERSHOOT:])
+    evicted = [connections.opened(10_000, 100 + k) for k in range(200)]
+    assert all(closed is None for closed in evicted[:MAX_OVERSHOOT])
+    assert all(closed is not None for closed in evicted[MAX_OVERSHOOT:])
     assert len(connections.connections) == 8 + MAX_OVERSHOOT
     connections.surplus(10_000)
     assert len(connections.connections) == 8
 
 
 def test_the_work_per_connection_does_not_depend_on_their_number() -> None:
-    """A tick looks at what is overdue, not at every connection; so does a newcomer at the bound."""
+    """A tick, and a new connection at the bound, examine overdue connections only."""
     connections = admission(50_000, proven=50_000)
     for conn in range(50_001, 50_101):
         connections.opened(10_000, conn)
@@ -120,7 +118,7 @@
 
 # ---- Loopback sockets -------------------------------------------------------------------------------------
 async def full(world: Scene) -> list[Viewer]:
-    """As many clients as there is room for: each has been served a test and stays connected, quiet."""
+    """Connect clients up to the bound; each had a test answered and stays connected and idle."""
     clients = []
     for k in range(descriptors.max_client_connections(LEAST_SOCKETS)):
         clients.append(await world.viewer())
@@ -133,7 +131,7 @@
 def test_a_request_in_pieces_is_served_though_others_connect_meanwhile(
     tmp_path: Path, first_bytes: int
 ) -> None:
-    """At the bound, a client connects and asks in two pieces (or only later); others connect meanwhile."""
+    """At the bound, a client sends its request late or in two pieces while others connect."""
 
     async def test() -> None:
         async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
@@ -177,8 +175,7 @@
 
 
 def test_an_unread_request_keeps_its_connection_when_others_connect(tmp_path: Path) -> None:
-    """At the bound: others connect; the loop is busy in the turn that accepts them, and in that time the
-    longest idle client asks."""
+    """At the bound, the longest idle client sends a request while the loop is busy accepting others."""
 
     async def test() -> None:
         async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: at every byte split, with what must not pass, and against noise."""
+"""The codecs of the platform: input split at every byte, invalid input, and random bytes."""
 
 from __future__ import annotations
 
@@ -68,12 +68,12 @@
     reader = rtsp.MessageReader()
     with pytest.raises(rtsp.ProtocolError):
         reader.feed(data)
-    with pytest.raises(rtsp.ProtocolError):  # nothing later on it counts, however good
+    with pytest.raises(rtsp.ProtocolError):  # later valid bytes are not parsed either
         reader.feed(GOOD)
 
 
 def test_a_response_with_a_too_small_length_is_not_returned_before_the_error() -> None:
-    """Where the rest of a body follows, the answer before it is the damaged one."""
+    """If bytes of a body follow a response, that response is the corrupt one."""
     with pytest.raises(rtsp.ProtocolError):
         rtsp.MessageReader().feed(GOOD.replace(b"Content-Length: 24", b"Content-Length: 10"))
 
--- a/tests/test_platform_core.py
+++ b/tests/test_platform_core.py
@@ -1,4 +1,8 @@
-"""The platform's sessions without sockets: one answer each, nothing kept that is over, boxes by their ids."""
+"""Sessions in the platform's core, without sockets.
+
+Guards against a request with no or two answers, against entries that outlive their session, and against
+servers that are identified by address instead of their number.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class World:
-    """A core, its clock and timers, and what it sent."""
+    """A core with its clock, timers and sent messages."""
 
     def __init__(
         self, servers: dict[int, int] | None = None, make: type[Director] = Director, **settings: Any
@@ -36,9 +40,9 @@
         self.now = 1_000_000.0
         self.timers: list[tuple[float, int, ev.Event]] = []
         self.timer_count = 0
-        self.sent_to_viewers: list[tuple[int, dict[str, Any]]] = []  # to viewers: connection, message
-        self.sent_to_servers: list[tuple[int, int, bytes]] = []  # to boxes: box, connection, bytes
-        self.waiting: list[tuple[int, int]] = []  # set-ups that wait for a connection
+        self.sent_to_viewers: list[tuple[int, dict[str, Any]]] = []  # connection, message
+        self.sent_to_servers: list[tuple[int, int, bytes]] = []  # server, connection, bytes
+        self.waiting: list[tuple[int, int]] = []  # set-ups that wait for a connection: number, server
         self.next_conn = 100
         for expected_causes in self.config.known:
             self.handle(ev.ListUpdated(expected_causes))
@@ -59,7 +63,7 @@
                     heapq.heappush(self.timers, (self.now + delay, self.timer_count, timer))
 
     def connect_waiting(self) -> list[tuple[int, int, bytes]]:
-        """Give each waiting set-up a connection: box, connection, bytes."""
+        """Give each waiting set-up a connection. Return server, connection and bytes of each."""
         left = []
         waiting, self.waiting = self.waiting, []
         for number, node in waiting:
@@ -90,7 +94,7 @@
         return [message["verb"] for _, message in self.sent_to_viewers if message["tag"] == tag]
 
     def start_session(self, tag: str, klass: str = "free", conn: int = 1) -> tuple[int, int]:
-        """A session that stands: its box and connection."""
+        """Start a session. Return its server and connection."""
         self.receive_from_viewer(start_line(tag, klass), conn)
         [(node, box_conn, _)] = self.connect_waiting()
         self.receive_from_server(node, box_conn, rtsp_answer(200, tag, b"there\r\n"))
@@ -119,7 +123,7 @@
     ]
     assert [e.elapsed_ms for e in world.events if isinstance(e, fl.Started)] == [40.0]
     note = rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n")
-    world.receive_from_server(node, conn + 9, note)  # a session that stands belongs to no connection
+    world.receive_from_server(node, conn + 9, note)  # a playing session is not bound to a connection
     assert [e for e in world.events if isinstance(e, fl.Note)] == [fl.Note(1, node, fl.NoteKind.LINK, 0.5)]
     world.receive_from_server(
         node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5;z:1\r\n")
@@ -129,7 +133,7 @@
     assert isinstance(ended, fl.Ended) and ended.final and ended.load == fl.Load(link=0.5)
     world.receive_from_server(
         node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n")
-    )  # told again elsewhere
+    )  # sent again on another connection
     assert len(world.verbs(name(1))) == 2
     world.receive_from_viewer(confirm_line(name(1)))
     sizes = world.core.table_sizes()
@@ -196,7 +200,9 @@
     world.receive_from_viewer(start_line(name(1), "paid"))
     [(node, conn, _)] = world.connect_waiting()
     world.receive_from_server(node, conn, rtsp_answer(200, name(1), body))
-    assert [m["rc"] for _, m in world.sent_to_viewers] == [41]  # it may have run: failed, never refused
+    assert [m["rc"] for _, m in world.sent_to_viewers] == [
+        41
+    ]  # it may have run, so it fails and is not refused
     assert (node, conn) in [(n, c) for n, c, data in world.sent_to_servers if data.startswith(b"TEARDOWN")]
 
 
@@ -221,14 +227,14 @@
         again = world.connect_waiting()
         assert 1 + len(again) == attempts
         assert all(n != node for n, _, _ in again)
-        assert not [d for _, _, d in world.sent_to_servers]  # the connection took the set-up with it
+        assert not [d for _, _, d in world.sent_to_servers]  # the set-up ended with its connection
 
 
 def test_a_paid_set_up_that_was_not_sent_goes_to_another_server() -> None:
     world = World()
     world.receive_from_viewer(start_line(name(1), "paid"))
     [(number, node)] = world.waiting
-    world.handle(ev.SetupNotSent(number, 99))  # of another box: of an attempt that is over
+    world.handle(ev.SetupNotSent(number, 99))  # another server: of an attempt that has ended
     world.handle(ev.SetupNotSent(number, node))
     world.handle(ev.SetupNotSent(number, node))
     [(other, _, _)] = world.connect_waiting()
@@ -306,12 +312,12 @@
     node, conn = world.start_session(name(1))
     world.receive_from_viewer(finish_line(name(1), 34), 2)
     world.receive_from_viewer(finish_line(name(1), 34), 3)
-    world.receive_from_viewer(finish_line(name(9), 34), 3)  # of an id that nobody knows
+    world.receive_from_viewer(finish_line(name(9), 34), 3)  # of an unknown tag
     released = [d for n, c, d in world.sent_to_servers if (n, c) == (node, conn)]
     assert len(released) == 1 and b"Reason: cause=" in released[0]
     world.receive_from_server(
         node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=31\r\n")
-    )  # both at the same moment
+    )  # both at the same time
     assert world.verbs(name(1)) == ["STARTED", "FINISHED", "FINISHED"]
     assert not world.core.sessions
 
@@ -444,18 +450,18 @@
 def test_handovers_before_the_list_repeated_and_for_a_known_session() -> None:
     world = World()
     node, _ = world.start_session(name(1))
-    world.receive_from_viewer(handover_line(name(1), node))  # held already
+    world.receive_from_viewer(handover_line(name(1), node))  # known already
     world.receive_from_viewer(handover_line(name(2), 12))
     world.receive_from_viewer(handover_line(name(2), 12))
     world.receive_from_viewer(handover_line(name(3), 77))  # not on the list yet
     world.receive_from_viewer(handover_line(name(3), 77))
-    world.receive_from_viewer(handover_line(name(4), 78))  # never on it
+    world.receive_from_viewer(handover_line(name(4), 78))  # never on the list
     assert [e.ask.session for e in world.events if isinstance(e, fl.Resumed)] == [2]
     info = fl.NodeInfo(77, 0, 0, 1, fl.Status.READY, 1.0, 0.0)
     world.handle(ev.ListUpdated(ListUpdate(2, False, (ListedServer(info, Address("10.0.0.77", 5060)),))))
     assert [e.node for e in world.events if isinstance(e, fl.Resumed)] == [12, 77]
     world.pass_time(4000)
-    assert world.verbs(name(4)) == ["FINISH"]  # what nobody can follow is over, and its viewer hears so
+    assert world.verbs(name(4)) == ["FINISH"]  # a session that cannot be handed over is released
     world.receive_from_server(77, 5, rtsp_request("TEARDOWN", name(3), "Reason: cause=16\r\n"))
     assert world.verbs(name(3)) == ["FINISH"]
     assert len(world.core.sessions) == 2
@@ -488,7 +494,7 @@
 
 
 def test_table_sizes_depend_on_live_sessions_only_over_a_hundred_thousand_sessions() -> None:
-    """Ids, connections and boxes are always new; every end is met; nothing stays."""
+    """Tags, connections and servers are always new, sessions end in every way, and no entry remains."""
     world = World()
     chance = random.Random(7)
     live: list[tuple[str, int, int]] = []
@@ -525,7 +531,7 @@
                 world.receive_from_server(node, conn, rtsp_request("TEARDOWN", tag, "Reason: cause=16\r\n"))
             else:
                 world.receive_from_viewer(finish_line(tag, 16), 1_000_000)
-        if k % 500 == 0:  # a box is replaced under a new id, now and then at the same address
+        if k % 500 == 0:  # a server is replaced by one with a new number, sometimes at the same address
             number += 1
             old = min(servers)
             cell, new = servers.pop(old), 100 + k
@@ -552,9 +558,7 @@
     world.pass_time(5000)
     for tag, node, conn in live:
         world.receive_from_server(node, conn, rtsp_request("TEARDOWN", tag, "Reason: cause=16\r\n"))
-    world.pass_time(
-        9000
-    )  # no viewer is there to hear of the last ends: they are kept as long as they are owed
+    world.pass_time(9000)  # no viewer is connected for the last releases: they are kept for RETENTION_MS
     world.receive_from_viewer(start_line(name(0)))
     world.receive_from_viewer(finish_line(name(0)))
     sizes = world.core.table_sizes()
@@ -564,19 +568,19 @@
 
 
 def test_servers_of_the_configured_list_are_as_warm_as_their_start_times_say() -> None:
-    """It holds what was told until the start; taken for an old one, it had all boxes cold for 12 s."""
+    """The configuration holds the list up to the start; treated as old, it made all servers cold for 12 s."""
     for started, expected in ((0.0, 6), (999_000.0, 1)):
         world = World(invariants__ramp_time_ms=12000.0)
-        servers = tuple(
+        listed = tuple(
             ListedServer(
-                replace(receive_from_server.info, started_ms=started, status=status),
-                receive_from_server.address,
+                replace(server.info, started_ms=started, status=status),
+                server.address,
             )
-            for receive_from_server, status in zip(
+            for server, status in zip(
                 world.config.known[0].servers, [fl.Status.READY] + [fl.Status.GONE] * 3, strict=True
             )
         )
-        world.handle(ev.ListUpdated(ListUpdate(2, False, servers)))
+        world.handle(ev.ListUpdated(ListUpdate(2, False, listed)))
         for k in range(6):
             world.receive_from_viewer(start_line(name(k)))
         assert len(world.connect_waiting()) == expected
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -1,4 +1,4 @@
-"""The platform's director keeps descriptors for discovery, servers, listener and log, whoever connects."""
+"""A platform director keeps descriptors for discovery, servers, listener and log, whoever connects."""
 
 from __future__ import annotations
 
@@ -31,13 +31,11 @@
 
 ROOT = Path(__file__).parent.parent
 DESCRIPTORS = 128
-SERVERS = 60  # more than the servers' usual share of so few descriptors
+SERVERS = 60  # more than the servers' usual share of few descriptors
 IDLE_CLIENTS = 400
-UNREAD_ANSWERS = (
-    700  # some 40 KB: more than the small buffers take, too little to stop the director's reading
-)
-USUAL_WAIT_S = 1.5  # for discovery: two waits of half a second, varied by a quarter, and some more
-NO_LIMIT_OF_ITS_OWN = 4096  # as a configuration may say while the machine allows the process less
+UNREAD_ANSWERS = 700  # about 40 KB: more than small buffers hold, too little to pause the director's reading
+USUAL_WAIT_S = 1.5  # for discovery: two waits of half a second with a jitter of a quarter, and a margin
+NO_LIMIT_OF_ITS_OWN = 4096  # a configured value above the process's limit
 
 
 def echo(number: int) -> bytes:
@@ -45,7 +43,7 @@
 
 
 class Program:
-    """The real program under a descriptor limit of its own, with servers in the test's process."""
+    """The real program with its own descriptor limit; the servers run in the test's process."""
 
     def __init__(self, process: subprocess.Popen[bytes], address: str, file: Path, log: Path) -> None:
         self.process, self.address, self._file, self._log = process, address, file, log
@@ -57,14 +55,14 @@
         return self._log.read_text()
 
     def configure(self, coordinator: str) -> None:
-        """Write the configuration again with another coordinator, and tell the program."""
+        """Rewrite the configuration with another coordinator and send SIGHUP."""
         text = self._file.read_text()
         old = text.split('"coordinator": "')[1].split('"')[0]
         self._file.write_text(text.replace(old, coordinator))
         self.process.send_signal(signal.SIGHUP)
 
     async def client(self) -> Viewer:
-        """The first client, once the program listens."""
+        """Connect the first client, once the program listens."""
         while True:
             assert self.process.poll() is None, self.log()
             try:
@@ -98,7 +96,7 @@
 
 
 async def fill(at: Program, first_bytes: Callable[[int], bytes]) -> list[Viewer]:
-    """Connect while the program stands still, so that all wait to be accepted; return when it goes on."""
+    """Connect while the program is suspended, so that all wait to be accepted, then resume it."""
     at.process.send_signal(signal.SIGSTOP)
     clients = []
     for k in range(IDLE_CLIENTS):
@@ -123,7 +121,7 @@
 ) -> None:
     async def test() -> None:
         servers = [await StandInBox().start() for _ in range(SERVERS)]
-        address = free_address()  # discovery is down: nobody listens there
+        address = free_address()  # discovery is down: there is no listener
         async with program(tmp_path, servers, address, sockets) as at:
             usual = await at.client()
             for k in range(SERVERS):
@@ -132,7 +130,7 @@
             assert all(answer is not None and answer["verb"] == "STARTED" for answer in answers)
             idle = await fill(at, IDLE[kind])
             last = await Viewer.connect(at.address)
-            last.send(echo(30_000))  # answered behind all that connected before
+            last.send(echo(30_000))  # answered after all that connected before
             assert await last.answer(name(30_000)) is not None
             assert at.descriptors() < DESCRIPTORS
 
@@ -145,7 +143,7 @@
             newcomer = await Viewer.connect(at.address)
             loop = asyncio.get_running_loop()
             number, until = 40_000, loop.time() + USUAL_WAIT_S
-            while not server.arrived.is_set():  # the only one on the new list, once that is heard
+            while not server.arrived.is_set():  # the only one on the new list, once that is received
                 assert loop.time() < until, "the list is not heard"
                 number += 1
                 newcomer.send(start_line(name(number), opts={"left": "3000"}))
@@ -153,7 +151,7 @@
                 assert answer is not None and answer["verb"] == "STARTED"
 
             moved = await StandInCoordinator().start()
-            at.configure(moved.address)  # the file needs a descriptor too
+            at.configure(moved.address)  # reading the file needs a descriptor too
             await asyncio.wait_for(moved.connected.wait(), USUAL_WAIT_S)
             assert moved.asked == [2] and at.descriptors() < DESCRIPTORS
             assert "exception" not in at.log() and len(at.log()) < 100_000
@@ -167,10 +165,12 @@
 
 
 async def leave_unread(world: Scene) -> socket.socket:
-    """A client that asks, ends its stream and never reads the answers, once that is known to the director."""
+    """A client that sends requests, ends its stream and never reads; wait until the director knows."""
     before = len(client_connections(world))
     client = socket.socket()
-    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # before it connects: the window stays small
+    client.setsockopt(
+        socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
+    )  # before the connect, so that the window stays small
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     await loop.sock_connect(client, (world.director.config.listen.host, world.director.config.listen.port))
@@ -194,7 +194,7 @@
                 clients.append(await leave_unread(world))
                 assert (
                     len(client_connections(world)) <= MAX_CLOSING + 2
-                )  # one that has just come, one that is being cut
+                )  # one just accepted and one being aborted
             assert unsent(world) > 0
             while client_connections(world):
                 await asyncio.sleep(0.005)
@@ -212,11 +212,11 @@
     assert shares.clients + shares.servers + own == descriptors
     assert shares.clients >= min(descriptors // 3, at_rest.clients) and shares.servers >= 8
     if own + descriptors / 3 + 1 + servers + SERVER_MARGIN <= descriptors:
-        assert shares.servers >= servers + SERVER_MARGIN  # one for each
+        assert shares.servers >= servers + SERVER_MARGIN  # one for each server
 
 
 def make_pool(now: float, standing: int = 0, connections: int = 1) -> server_pool.ServerPool:
-    """A server with connections that came up at a moment."""
+    """A pool of a server with connections opened at `now`."""
     made = server_pool.ServerPool(1000.0, 30000.0, 4, 1)
     for key in range(connections):
         made.handle(now, server_pool.SetupQueued(key))
@@ -243,10 +243,10 @@
         assert servers[least.node].handle(1100.0, server_pool.ConnectionYielded(least.conn)) == [
             server_pool.CloseConnection(least.conn)
         ]
-    # idle ones by their age, then what sessions are heard on; one heard on for under a second stays
+    # idle ones by age, then those needed for sessions; one open for under a second stays
     assert [node for node, _ in order] == [4, 3, 2]
     last = ConnectionKey(4, next(iter(servers[4].connections)))
-    assert select_connection_to_close(1100.0, servers, 0.0) == last  # but not where a set-up waits
+    assert select_connection_to_close(1100.0, servers, 0.0) == last  # unless a set-up waits
     assert select_connection_to_close(1300.0, servers, MIN_LISTENING_MS) == last
 
 
@@ -256,7 +256,7 @@
     assert server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS / 2, server_pool.Tick()) == []
     [again] = server.handle(2000.0 + server_pool.REOPEN_INTERVAL_MS, server_pool.Tick())
     assert isinstance(again, server_pool.OpenConnection)
-    # no descriptor now either: asked for again after the same wait, and its sessions are not lost by that
+    # still no descriptor: requested again after the same wait, and no sessions are lost
     assert server.handle(2300.0, server_pool.ConnectionLost(again.conn)) == []
     [once_more] = server.handle(2300.0 + server_pool.REOPEN_INTERVAL_MS, server_pool.Tick())
     assert isinstance(once_more, server_pool.OpenConnection)
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -1,4 +1,4 @@
-"""Connections to boxes, the coordinator's feed, viewers' connections and the stop, without sockets."""
+"""Decision modules of the platform without sockets: pools, discovery watch, admission, stop, releases."""
 
 from __future__ import annotations
 
@@ -28,167 +28,167 @@
     return [type(action).__name__ for action in actions]
 
 
-# ---- Lines ------------------------------------------------------------------------------------------------
+# ---- Server pools -----------------------------------------------------------------------------------------
 def test_a_set_up_has_its_connection_to_itself_while_more_may_be_opened() -> None:
-    box = make_pool(2)
-    assert box.handle(0, server_pool.SetupQueued(1)) == [server_pool.OpenConnection(1, 250.0)]
-    assert box.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
-    assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
-    assert box.handle(1, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 2)]
-    assert box.handle(2, server_pool.SetupQueued(3)) == [
+    pool = make_pool(2)
+    assert pool.handle(0, server_pool.SetupQueued(1)) == [server_pool.OpenConnection(1, 250.0)]
+    assert pool.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
+    assert pool.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
+    assert pool.handle(1, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 2)]
+    assert pool.handle(2, server_pool.SetupQueued(3)) == [
         server_pool.UseConnection(1, 3)
-    ]  # no room for more: shared
+    ]  # no more may be opened: shared
     for conn in (1, 1, 2):
-        box.handle(3, server_pool.SlotReleased(conn))
-    assert action_names(box.handle(4, server_pool.SetupQueued(4))) == [
+        pool.handle(3, server_pool.SlotReleased(conn))
+    assert action_names(pool.handle(4, server_pool.SetupQueued(4))) == [
         "UseConnection"
-    ]  # idle ones are used again
+    ]  # idle ones are reused
 
 
 def test_a_connection_that_is_not_up_in_time_or_refused_fails_one_waiting_set_up() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.SetupQueued(2))
-    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
-    assert box.handle(249, server_pool.Tick()) == []
-    assert box.handle(250, server_pool.Tick()) == [
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.SetupQueued(2))
+    assert pool.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
+    assert pool.handle(249, server_pool.Tick()) == []
+    assert pool.handle(250, server_pool.Tick()) == [
         server_pool.CloseConnection(2),
         server_pool.SetupUnreachable(2),
     ]
-    assert box.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
+    assert pool.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
 
 
 def test_a_cancelled_set_up_is_not_sent() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(1, server_pool.SetupCancelled(1))
-    assert box.handle(2, server_pool.ConnectionOpened(1)) == []
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(1, server_pool.SetupCancelled(1))
+    assert pool.handle(2, server_pool.ConnectionOpened(1)) == []
 
 
 def test_a_quiet_connection_with_a_set_up_is_pinged_and_closed() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    assert box.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
-    assert box.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
-    assert action_names(box.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    assert pool.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
+    assert pool.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    assert action_names(pool.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
         "OpenConnection"
-    ]  # perhaps dead: not used
+    ]  # may be dead: not used
     after = server_pool.PING_IDLE_MS + server_pool.PING_TIMEOUT_MS
-    assert server_pool.CloseConnection(1) in box.handle(after, server_pool.Tick())
+    assert server_pool.CloseConnection(1) in pool.handle(after, server_pool.Tick())
 
 
 def test_an_answered_ping_keeps_the_connection() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(1000, server_pool.Tick())
-    box.handle(1001, server_pool.DataReceived(1))
-    assert box.handle(1800, server_pool.Tick()) == []
-    assert box.latest_up == 1
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(1000, server_pool.Tick())
+    pool.handle(1001, server_pool.DataReceived(1))
+    assert pool.handle(1800, server_pool.Tick()) == []
+    assert pool.latest_up == 1
 
 
 def test_a_closed_connection_loses_no_sessions_and_a_refused_one_does() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
-    assert box.handle(5, server_pool.SessionsChanged(1)) == []
-    assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
-    assert box.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
-    assert box.handle(20, server_pool.ConnectionLost(2)) == [server_pool.OpenConnection(3, 250.0)]
-    assert box.handle(21, server_pool.ConnectionLost(3, refused=True)) == [
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(5, server_pool.SlotReleased(1))
+    assert pool.handle(5, server_pool.SessionsChanged(1)) == []
+    assert pool.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
+    assert pool.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
+    assert pool.handle(20, server_pool.ConnectionLost(2)) == [server_pool.OpenConnection(3, 250.0)]
+    assert pool.handle(21, server_pool.ConnectionLost(3, refused=True)) == [
         server_pool.SessionsLost("refused")
     ]
 
 
 def test_a_refused_connection_beside_an_open_one_loses_no_sessions() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.SetupQueued(2))
-    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.SetupQueued(2))
+    assert pool.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
 
 
 def test_silence_ends_sessions_within_the_notification_deadline() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SessionsChanged(3))
-    box.handle(0, server_pool.ConnectionOpened(1))
+    pool = make_pool()
+    pool.handle(0, server_pool.SessionsChanged(3))
+    pool.handle(0, server_pool.ConnectionOpened(1))
     lost = None
     now = 0.0
     while lost is None and now < 20000:
         now += 100
-        for action in box.handle(now, server_pool.Tick()):
+        for action in pool.handle(now, server_pool.Tick()):
             if isinstance(action, server_pool.SessionsLost):
                 lost = now
     assert lost is not None and lost <= 6000
 
 
 def test_a_removed_server_is_not_connected_to_again() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
-    box.handle(5, server_pool.SessionsChanged(1))
-    box.handle(6, server_pool.ServerRemoved())
-    assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
-    box.handle(10, server_pool.SessionsChanged(0))
-    assert box.unused
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(5, server_pool.SlotReleased(1))
+    pool.handle(5, server_pool.SessionsChanged(1))
+    pool.handle(6, server_pool.ServerRemoved())
+    assert pool.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
+    pool.handle(10, server_pool.SessionsChanged(0))
+    assert pool.unused
 
 
 def test_one_connection_is_kept_for_sessions_though_all_received_at_once() -> None:
-    box = make_pool(8)
+    pool = make_pool(8)
     for k in (1, 2, 3):
-        box.handle(0, server_pool.SetupQueued(k))
+        pool.handle(0, server_pool.SetupQueued(k))
     for k in (1, 2, 3):
-        box.handle(0, server_pool.ConnectionOpened(k))
+        pool.handle(0, server_pool.ConnectionOpened(k))
     for k in (1, 2, 3):
-        box.handle(1, server_pool.DataReceived(k))
-        box.handle(1, server_pool.SlotReleased(k))
-    box.handle(1, server_pool.SessionsChanged(3))
-    assert action_names(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
-    box.handle(1001, server_pool.DataReceived(3))
-    assert action_names(box.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
-    assert len(box.connections) == 1
+        pool.handle(1, server_pool.DataReceived(k))
+        pool.handle(1, server_pool.SlotReleased(k))
+    pool.handle(1, server_pool.SessionsChanged(3))
+    assert action_names(pool.handle(1000, server_pool.Tick())) == ["PingConnection"]
+    pool.handle(1001, server_pool.DataReceived(3))
+    assert action_names(pool.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
+    assert len(pool.connections) == 1
 
 
 def test_idle_connections_are_retired_before_the_server_closes_them_and_not_sooner() -> None:
-    """A release may be on its way: what the box has still to say is heard, so nothing is cut off."""
-    box = make_pool(8)
+    """Retired connections are still read, since a release of the server may be under way."""
+    pool = make_pool(8)
     for k in range(1, 6):
-        box.handle(0, server_pool.SetupQueued(k))
+        pool.handle(0, server_pool.SetupQueued(k))
     for k in range(1, 6):
-        box.handle(0, server_pool.ConnectionOpened(k))
+        pool.handle(0, server_pool.ConnectionOpened(k))
     for k in range(1, 6):
-        box.handle(1, server_pool.SlotReleased(k))
-    assert box.handle(17000, server_pool.Tick()) == []
-    assert action_names(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
-    assert not box.connections
+        pool.handle(1, server_pool.SlotReleased(k))
+    assert pool.handle(17000, server_pool.Tick()) == []
+    assert action_names(pool.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
+    assert not pool.connections
 
 
 @pytest.mark.parametrize("idle_ms", [500.0, 1500.0, 30000.0])
 def test_a_connection_kept_for_sessions_is_pinged_before_the_server_closes_it_as_idle(
     idle_ms: float,
 ) -> None:
-    box = server_pool.ServerPool(250.0, idle_ms, 4, 1)
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.DataReceived(1))
+    pool = server_pool.ServerPool(250.0, idle_ms, 4, 1)
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.DataReceived(1))
     used, tests = 2.0, 0
     for now in range(100, 20_000, 100):
         assert now - used < idle_ms, "closed by the box as idle"
-        for action in box.handle(now, server_pool.Tick()):
-            assert isinstance(action, server_pool.PingConnection)  # and never given up or opened anew
+        for action in pool.handle(now, server_pool.Tick()):
+            assert isinstance(action, server_pool.PingConnection)  # and never closed or reopened
             used, tests = now, tests + 1
-            box.handle(now + 1, server_pool.DataReceived(1))
+            pool.handle(now + 1, server_pool.DataReceived(1))
     assert tests <= 20_000 / min(idle_ms * server_pool.MAX_IDLE_RATIO, server_pool.PING_IDLE_MS)
 
 
 @given(st.lists(st.tuples(st.sampled_from("wurfdhstgk"), st.integers(1, 6)), max_size=120))
 def test_a_pool_never_loses_a_set_up_nor_uses_a_dead_connection(steps: list[tuple[str, int]]) -> None:
-    """Each wanted set-up is used, unreached, taken back or waits; only connections that are up are used."""
-    box = make_pool(3)
+    """Each set-up is sent, failed, cancelled or waiting; only connections that are up are used."""
+    pool = make_pool(3)
     up: set[int] = set()
     opening: set[int] = set()
     wants: set[int] = set()
@@ -216,46 +216,46 @@
             case "w":
                 key += 1
                 wants.add(key)
-                look(box.handle(now, server_pool.SetupQueued(key)))
+                look(pool.handle(now, server_pool.SetupQueued(key)))
             case "u" if opening:
                 conn = min(opening)
                 opening.discard(conn)
                 up.add(conn)
-                look(box.handle(now, server_pool.ConnectionOpened(conn)))
+                look(pool.handle(now, server_pool.ConnectionOpened(conn)))
             case "r" if opening:
                 conn = max(opening)
                 opening.discard(conn)
-                look(box.handle(now, server_pool.ConnectionLost(conn, refused=True)))
+                look(pool.handle(now, server_pool.ConnectionLost(conn, refused=True)))
             case "f" if up:
-                look(box.handle(now, server_pool.SlotReleased(max(up))))
+                look(pool.handle(now, server_pool.SlotReleased(max(up))))
             case "d" if up:
                 conn = min(up)
                 up.discard(conn)
-                look(box.handle(now, server_pool.ConnectionLost(conn)))
+                look(pool.handle(now, server_pool.ConnectionLost(conn)))
             case "h" if up:
-                look(box.handle(now, server_pool.DataReceived(min(up))))
+                look(pool.handle(now, server_pool.DataReceived(min(up))))
             case "s":
-                look(box.handle(now, server_pool.SessionsChanged(n - 1)))
+                look(pool.handle(now, server_pool.SessionsChanged(n - 1)))
             case "t":
                 now += 300.0 * n
-                look(box.handle(now, server_pool.Tick()))
+                look(pool.handle(now, server_pool.Tick()))
             case "g":
-                look(box.handle(now, server_pool.ConnectRequested()))
+                look(pool.handle(now, server_pool.ConnectRequested()))
             case "k" if wants:
                 taken_back = max(wants)
                 wants.discard(taken_back)
-                look(box.handle(now, server_pool.SetupCancelled(taken_back)))
-        assert len(box.connections) <= 3
+                look(pool.handle(now, server_pool.SetupCancelled(taken_back)))
+        assert len(pool.connections) <= 3
     now += 10000
     for _ in range(4):
         now += 300
-        look(box.handle(now, server_pool.Tick()))
+        look(pool.handle(now, server_pool.Tick()))
     if not up:
-        # nothing waits for ever without a connection on its way
-        assert not box.waiting or opening
+        # no set-up waits unless a connection is being opened
+        assert not pool.waiting or opening
 
 
-# ---- Feed -------------------------------------------------------------------------------------------------
+# ---- Discovery watch --------------------------------------------------------------------------------------
 def frames_of(*data: bytes) -> discovery_watch.FramesReceived:
     return discovery_watch.FramesReceived(tuple(discovery_watch.FrameReader(2, 2, 4).feed(b"".join(data))))
 
@@ -312,7 +312,7 @@
     watch = open_watch()
     timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, watch._timer_id)
     now = 0.0
-    for _ in range(5):  # empty frames keep it alive
+    for _ in range(5):  # empty frames keep the watch open
         now += 1000
         watch.handle(now, frames_of(frame(1, 0)))
         while timer.delay_ms <= now:
@@ -350,7 +350,7 @@
     assert discovery_watch.CloseConnection() in watch.handle(
         discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(timer.timer_id)
     )
-    assert watch.handle(800, discovery_watch.ConnectionOpened()) == []  # of the one that was dropped
+    assert watch.handle(800, discovery_watch.ConnectionOpened()) == []  # of the connection that was closed
 
 
 def test_a_new_address_is_connected_to_at_once_and_twice_in_a_row() -> None:
@@ -380,7 +380,7 @@
         assert connections.opened(0, conn) is None and connections.surplus(0) == []
     connections.received(1, 1, proven=True, partial=False)
     assert connections.opened(2, 4) is None
-    assert connections.surplus(2) == [2]  # the oldest that has said nothing
+    assert connections.surplus(2) == [2]  # the oldest without bytes
     assert connections.overdue(admission.FIRST_REQUEST_TIMEOUT_MS - 1) == []
     assert connections.overdue(admission.FIRST_REQUEST_TIMEOUT_MS) == [3]
     assert admission.FIRST_REQUEST_TIMEOUT_MS < 3000
@@ -397,21 +397,21 @@
     connections.received(6, 3, proven=True, partial=False)
     connections.sessions_changed(3, 1)
     connections.opened(7, 4)
-    assert connections.surplus(7) == [4]  # all others hold sessions
+    assert connections.surplus(7) == [4]  # all others have sessions
     connections.sessions_changed(1, -1)
     connections.opened(8, 5)
     assert connections.surplus(8) == [1]
 
 
 def test_each_connection_of_a_burst_evicts_another() -> None:
-    """Hundreds come in one look at the sockets, before the end of the first that was shut is heard."""
+    """Hundreds are accepted in one pass over the sockets, before the first evicted one has closed."""
     connections = ConnectionAdmission(4)
     shut = [connections.opened(0, conn) for conn in range(1, 104)]
-    skip_arrival_window = 4 + admission.MAX_OVERSHOOT  # until the sockets are looked at
-    assert shut[:skip_arrival_window] == [None] * skip_arrival_window and shut[skip_arrival_window:] == list(
-        range(1, 104 - skip_arrival_window)
+    max_connections = 4 + admission.MAX_OVERSHOOT  # until all sockets are read
+    assert shut[:max_connections] == [None] * max_connections and shut[max_connections:] == list(
+        range(1, 104 - max_connections)
     )
-    assert connections.surplus(0) == list(range(104 - skip_arrival_window, 100))
+    assert connections.surplus(0) == list(range(104 - max_connections, 100))
     assert len(connections.connections) == 4
 
 
@@ -428,20 +428,20 @@
     connections.opened(0, 1)
     connections.received(10, 1, proven=True, partial=False)
     connections.received(5000, 1, proven=False, partial=True)
-    connections.received(5900, 1, proven=False, partial=True)  # more of it is not the end of it
+    connections.received(5900, 1, proven=False, partial=True)  # more bytes, still incomplete
     assert connections.overdue(5000 + admission.PARTIAL_MESSAGE_TIMEOUT_MS) == [1]
     connections.received(5950, 1, proven=True, partial=False)
     assert connections.overdue(9000) == []
 
 
-DEADLINES = (1500.0, 60_000.0)  # the longest counts as 3 s
+DEADLINES = (1500.0, 60_000.0)  # the longest is capped at 3 s
 
 
-def check_repeatedly(at: stop.GracefulStop, now: float, *owed: int) -> list[stop.Step]:
-    """The looks one after another, up to one that waits or ends."""
-    steps = [at.check(now, stop.PendingWork(*owed))]
+def check_repeatedly(shutdown: stop.GracefulStop, now: float, *pending: int) -> list[stop.Step]:
+    """Return the steps of repeated checks up to one that waits or ends."""
+    steps = [shutdown.check(now, stop.PendingWork(*pending))]
     while steps[-1] is stop.Step.CHECK:
-        steps.append(at.check(now, stop.PendingWork(*owed)))
+        steps.append(shutdown.check(now, stop.PendingWork(*pending)))
     return steps
 
 
@@ -449,47 +449,47 @@
     ("waited", "unanswered", "ends"), [(600, 0, False), (949, 0, False), (950, 1, False), (950, 0, True)]
 )
 def test_a_stop_waits_for_late_requests_and_for_answers(waited: float, unanswered: int, ends: bool) -> None:
-    at = stop.GracefulStop(DEADLINES)
-    assert at.begin(1000)
-    assert (check_repeatedly(at, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
-    assert not at.begin(1000 + waited)  # told twice is told once
+    shutdown = stop.GracefulStop(DEADLINES)
+    assert shutdown.begin(1000)
+    assert (check_repeatedly(shutdown, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
+    assert not shutdown.begin(1000 + waited)  # a repeated signal is ignored
 
 
 def test_a_stop_checks_the_sockets_again_and_waits_for_new_requests() -> None:
-    at = stop.GracefulStop(DEADLINES)
-    at.begin(0)
-    assert at.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
-    for frames_of in (8, 9, 10, 11, 12, 13):  # something comes at each look
-        assert at.check(1000, stop.PendingWork(0, 0, frames_of)) is stop.Step.CHECK
-    assert at.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT  # and one of them was a request
-    assert at.state is stop.State.DRAINING
-    steps = check_repeatedly(at, 1100, 0, 0, 15)
-    assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [
-        stop.Step.END
-    ]  # the first has news of a read
+    shutdown = stop.GracefulStop(DEADLINES)
+    shutdown.begin(0)
+    assert shutdown.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
+    for received in (8, 9, 10, 11, 12, 13):  # new input at each check
+        assert shutdown.check(1000, stop.PendingWork(0, 0, received)) is stop.Step.CHECK
+    assert (
+        shutdown.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT
+    )  # one of the inputs was a request
+    assert shutdown.state is stop.State.DRAINING
+    steps = check_repeatedly(shutdown, 1100, 0, 0, 15)
+    assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [stop.Step.END]  # the first sees new input
 
 
 def test_a_stop_waits_for_unsent_bytes_but_never_past_the_kill() -> None:
-    at = stop.GracefulStop(DEADLINES)
-    at.begin(0)
-    assert at.killed_after_ms == 3700
-    assert check_repeatedly(at, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
-    assert check_repeatedly(at, 3500, 2, 90, 7) == [stop.Step.ANSWER]
-    assert check_repeatedly(at, 3500, 0, 90, 7) == [stop.Step.WAIT]
-    assert check_repeatedly(at, 3600, 0, 90, 8)[-1] is stop.Step.END
+    shutdown = stop.GracefulStop(DEADLINES)
+    shutdown.begin(0)
+    assert shutdown.killed_after_ms == 3700
+    assert check_repeatedly(shutdown, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(shutdown, 3500, 2, 90, 7) == [stop.Step.ANSWER]
+    assert check_repeatedly(shutdown, 3500, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(shutdown, 3600, 0, 90, 8)[-1] is stop.Step.END
 
 
 @pytest.mark.parametrize("deadline", [100.0, 900.0, 3000.0, 60_000.0])
 def test_a_stop_ends_before_the_kill_for_all_deadlines_and_any_input(
     deadline: float,
 ) -> None:
-    at = stop.GracefulStop([deadline, 50.0])
-    at.begin(0)
-    now, frames_of = 0.0, 0
-    while at.state is not stop.State.ENDED:
-        now, frames_of = now + 100, frames_of + 1  # a flood that never ends and a viewer that never reads
+    shutdown = stop.GracefulStop([deadline, 50.0])
+    shutdown.begin(0)
+    now, received = 0.0, 0
+    while shutdown.state is not stop.State.ENDED:
+        now, received = now + 100, received + 1  # endless input and a viewer that never reads
         unanswered = 1
-        while (step := at.check(now, stop.PendingWork(unanswered, 70_000, frames_of))) in (
+        while (step := shutdown.check(now, stop.PendingWork(unanswered, 70_000, received))) in (
             stop.Step.ANSWER,
             stop.Step.CHECK,
         ):
@@ -510,27 +510,27 @@
 
 def test_the_delay_of_bytes_unread_while_the_loop_was_busy_is_estimated() -> None:
     lag = EventLoopLag()
-    assert lag.work_begins(1000.0) == 0.0  # the first: nothing is known of before
+    assert lag.work_begins(1000.0) == 0.0  # the first iteration: no earlier poll is known
     lag.work_ends(1000.3)
     assert lag.work_begins(1050.0) == 0.0
     lag.work_ends(1130.0)  # 80 ms of work
-    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # may have come just after the look before
+    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # may have arrived just after the previous poll
     lag.work_ends(1130.4)
-    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # of the same look
-    assert lag.work_begins(1131.0) == 0.0  # within the clock's grain
+    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # of the same poll
+    assert lag.work_begins(1131.0) == 0.0  # within the clock's resolution
     lag.work_ends(1131.1)
     assert lag.work_begins(1700.0) == 0.0  # idle for long, then woken
 
 
 def test_set_ups_beyond_the_maximum_of_streams_wait() -> None:
-    box = make_pool(most=1, streams=2)
+    pool = make_pool(most=1, streams=2)
     for key in (1, 2, 3):
-        box.handle(0, server_pool.SetupQueued(key))
-    assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
-    assert box.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
-    assert box.handle(3, server_pool.SetupQueued(5)) == [] and box.in_flight == 2
-    assert box.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
-    assert [key for key, _ in box.waiting] == [3, 5]
+        pool.handle(0, server_pool.SetupQueued(key))
+    assert pool.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
+    assert pool.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
+    assert pool.handle(3, server_pool.SetupQueued(5)) == [] and pool.in_flight == 2
+    assert pool.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
+    assert [key for key, _ in pool.waiting] == [3, 5]
 
 
 def test_permanent_gaps_cause_reconnects_with_growing_waits() -> None:
@@ -546,57 +546,57 @@
 
 # ---- Releases ---------------------------------------------------------------------------------------------
 def test_a_release_is_written_on_its_own_connection_else_on_one_in_use_else_kept() -> None:
-    owed = ViewerReleases()
-    assert owed.add(0, 1, "a", b"A") == []  # nobody is there
-    assert owed.session_requested(10, 2) == [Write(2, b"A")]
-    assert owed.add(20, 3, "b", b"B") == [Write(2, b"B")]
-    owed.session_requested(30, 4)
-    owed.session_started(30, 2)
-    assert owed.add(40, 9, "c", b"C") == [Write(2, b"C")]  # 4 has only asked
-    owed.session_requested(50, 5)
-    assert owed.add(50, 5, "d", b"D") == [Write(5, b"D")]
+    releases = ViewerReleases()
+    assert releases.add(0, 1, "a", b"A") == []  # no connection in use
+    assert releases.session_requested(10, 2) == [Write(2, b"A")]
+    assert releases.add(20, 3, "b", b"B") == [Write(2, b"B")]
+    releases.session_requested(30, 4)
+    releases.session_started(30, 2)
+    assert releases.add(40, 9, "c", b"C") == [Write(2, b"C")]  # connection 4 has only requested a session
+    releases.session_requested(50, 5)
+    assert releases.add(50, 5, "d", b"D") == [Write(5, b"D")]
 
 
 def test_a_release_unconfirmed_when_its_connection_closes_is_written_again() -> None:
-    owed = ViewerReleases()
+    releases = ViewerReleases()
     for conn in (1, 2):
-        owed.session_started(0, conn)
+        releases.session_started(0, conn)
     for tag in "abc":
-        owed.add(1, 1, tag, tag.encode())
-    owed.confirmed(1, "b")
-    owed.confirmed(2, "a")  # another's word does not count
-    assert owed.connection_closed(2, 1) == [Write(2, b"a"), Write(2, b"c")]
-    assert owed.connection_closed(3, 2) == [] and len(owed) == 2  # kept for who comes next
-    assert owed.session_requested(4, 3) == [Write(3, b"a"), Write(3, b"c")]
+        releases.add(1, 1, tag, tag.encode())
+    releases.confirmed(1, "b")
+    releases.confirmed(2, "a")  # a confirmation on another connection is ignored
+    assert releases.connection_closed(2, 1) == [Write(2, b"a"), Write(2, b"c")]
+    assert releases.connection_closed(3, 2) == [] and len(releases) == 2  # kept for the next connection
+    assert releases.session_requested(4, 3) == [Write(3, b"a"), Write(3, b"c")]
     for tag in "ac":
-        owed.confirmed(3, tag)
-    assert len(owed) == 0
+        releases.confirmed(3, tag)
+    assert len(releases) == 0
 
 
 def test_releases_are_bounded_in_time_and_number() -> None:
-    owed = ViewerReleases()
-    owed.add(0, 1, "old", b"old")
-    owed.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
-    assert len(owed) == 2
+    releases = ViewerReleases()
+    releases.add(0, 1, "old", b"old")
+    releases.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
+    assert len(releases) == 2
     assert (
-        owed.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
-        and owed.expired == 1
+        releases.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
+        and releases.expired == 1
     )
     assert (
-        owed.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
-    )  # moving on does not make it younger
-    assert len(owed) == 0 and owed.expired == 2
-    owed.session_requested(0, 2)
+        releases.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
+    )  # another connection does not extend the retention
+    assert len(releases) == 0 and releases.expired == 2
+    releases.session_requested(0, 2)
     for k in range(3 * viewer_releases.MAX_UNCONFIRMED):
-        owed.add(0, 2, str(k), b"")
-    assert len(owed) == viewer_releases.MAX_UNCONFIRMED
-    owed = ViewerReleases()
+        releases.add(0, 2, str(k), b"")
+    assert len(releases) == viewer_releases.MAX_UNCONFIRMED
+    releases = ViewerReleases()
     for k in range(2 * viewer_releases.MAX_UNSENT):
-        owed.add(0, 1, str(k), b"")
-    assert len(owed) == viewer_releases.MAX_UNSENT
+        releases.add(0, 1, str(k), b"")
+    assert len(releases) == viewer_releases.MAX_UNSENT
 
 
-# ---- Telling the module -----------------------------------------------------------------------------------
+# ---- Events to the module ---------------------------------------------------------------------------------
 def test_an_event_caused_by_an_action_is_handled_after_the_current_event() -> None:
     order: list[str] = []
 
@@ -621,22 +621,23 @@
 
 
 def test_an_unsent_message_opens_connections_until_one_is_up_or_the_server_is_gone() -> None:
-    box = make_pool(most=1)
-    assert box.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
-    assert box.handle(10, server_pool.ConnectRequested()) == []  # one is opening
-    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
-    open_watch = [
-        now for now in range(300, 20_000, 100) for a in box.handle(now, server_pool.Tick()) if a in OPENS
+    pool = make_pool(most=1)
+    assert pool.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
+    assert pool.handle(10, server_pool.ConnectRequested()) == []  # one is being opened
+    assert pool.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
+    opened_at = [
+        now for now in range(300, 20_000, 100) for a in pool.handle(now, server_pool.Tick()) if a in OPENS
     ]
-    assert open_watch[0] == 300 and len(open_watch) < 12  # each fails, and waits grow
+    assert opened_at[0] == 300 and len(opened_at) < 12  # each attempt fails, and the waits grow
     assert (
-        box.handle(20_000, server_pool.ConnectionOpened(box._last_conn)) == [] and not box.connect_requested
+        pool.handle(20_000, server_pool.ConnectionOpened(pool._last_conn)) == []
+        and not pool.connect_requested
     )
     refused = make_pool()
     assert refused.handle(0, server_pool.ConnectRequested()) == [server_pool.OpenConnection(1, 250.0)]
     assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [
         server_pool.DiscardUnsent()
-    ]  # its process is gone, and its sessions
+    ]  # its process is gone, and with it its sessions
     assert refused.handle(900, server_pool.Tick()) == []
 
 
@@ -644,42 +645,42 @@
 
 
 def test_a_removed_server_is_not_connected_to_and_a_relisted_one_is() -> None:
-    box = make_pool()
-    box.handle(0, server_pool.SetupQueued(7))
-    assert box.handle(1, server_pool.ServerRemoved()) == [
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(7))
+    assert pool.handle(1, server_pool.ServerRemoved()) == [
         server_pool.CloseConnection(1),
         server_pool.SetupUnreachable(7),
     ]
-    box.handle(2, server_pool.ServerListed(False))
-    assert not box.is_removed and box.handle(3, server_pool.SetupQueued(8)) == [
+    pool.handle(2, server_pool.ServerListed(False))
+    assert not pool.is_removed and pool.handle(3, server_pool.SetupQueued(8)) == [
         server_pool.OpenConnection(2, 250.0)
     ]
-    box.handle(4, server_pool.ConnectionOpened(2))
-    box.handle(5, server_pool.SetupQueued(9))
-    box.handle(6, server_pool.ConnectionOpened(3))
-    box.handle(7, server_pool.SlotReleased(3))
-    # at another address now: the idle one goes, the one with a set-up out ends what it has, nothing joins it
-    assert box.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
-    assert box.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
-    box.handle(10, server_pool.SlotReleased(2))
-    assert server_pool.RetireConnection(2) in box.handle(11, server_pool.Tick())
+    pool.handle(4, server_pool.ConnectionOpened(2))
+    pool.handle(5, server_pool.SetupQueued(9))
+    pool.handle(6, server_pool.ConnectionOpened(3))
+    pool.handle(7, server_pool.SlotReleased(3))
+    # at another address: the idle connection is retired, the other finishes its set-up and gets no new one
+    assert pool.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
+    assert pool.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
+    pool.handle(10, server_pool.SlotReleased(2))
+    assert server_pool.RetireConnection(2) in pool.handle(11, server_pool.Tick())
 
 
 def test_a_set_up_queued_while_the_only_connection_is_pinged_is_sent_after_the_answer() -> None:
-    box = make_pool(most=1)
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.DataReceived(1))
-    assert box.handle(1000, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    pool = make_pool(most=1)
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.DataReceived(1))
+    assert pool.handle(1000, server_pool.Tick()) == [server_pool.PingConnection(1)]
     for key in (7, 8):
         assert (
-            box.handle(1001, server_pool.SetupQueued(key)) == []
-        )  # it may be dead, and there is no room for another
-    assert box.handle(1002, server_pool.DataReceived(1)) == [
+            pool.handle(1001, server_pool.SetupQueued(key)) == []
+        )  # it may be dead, and no other may be opened
+    assert pool.handle(1002, server_pool.DataReceived(1)) == [
         server_pool.UseConnection(1, 7),
         server_pool.UseConnection(1, 8),
     ]
-    assert not box.waiting and box.in_flight == 2
+    assert not pool.waiting and pool.in_flight == 2
     narrow = make_pool(most=1, streams=1)
     narrow.handle(0, server_pool.SessionsChanged(1))
     narrow.handle(1, server_pool.ConnectionOpened(1))
@@ -691,14 +692,14 @@
 
 
 def test_waiting_set_ups_get_a_connection_when_the_last_one_had_a_former_address() -> None:
-    box = make_pool(most=1)
-    box.handle(0, server_pool.SetupQueued(7))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.ServerListed(True))
-    assert box.handle(3, server_pool.SetupQueued(8)) == []
-    assert box.handle(4, server_pool.SlotReleased(1)) == []
-    assert box.handle(100, server_pool.Tick()) == [
+    pool = make_pool(most=1)
+    pool.handle(0, server_pool.SetupQueued(7))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.ServerListed(True))
+    assert pool.handle(3, server_pool.SetupQueued(8)) == []
+    assert pool.handle(4, server_pool.SlotReleased(1)) == []
+    assert pool.handle(100, server_pool.Tick()) == [
         server_pool.RetireConnection(1),
         server_pool.OpenConnection(2, 250.0),
     ]
-    assert box.handle(101, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 8)]
+    assert pool.handle(101, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 8)]
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""`run` and `build` of deploy/balancer.toml keep to what the operators' pages allow a director's process."""
+"""`run` and `build` of deploy/balancer.toml do only what the operators' pages allow a director's process."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def run_line() -> str:
-    """The line as the operators start it, but for the environment that `build` makes."""
+    """The start command of the operators, with this environment in place of the one that `build` makes."""
     line: str = DEPLOY["run"]
     assert line.startswith("exec .venv/bin/python ")
     return line.replace(".venv/bin/python", sys.executable)
@@ -89,7 +89,7 @@
             director.send_signal(signal.SIGHUP)
             await later.connected.wait()
             of = Path(f"/proc/{director.pid}")
-            # by exec the shell has become the director itself, and it has no other process
+            # the shell was replaced by the director through exec, so there is no other process
             assert of.joinpath("exe").resolve() == Path(sys.executable).resolve()
             assert not of.joinpath(f"task/{director.pid}/children").read_text()
             assert "/libc.so" in of.joinpath("maps").read_text()
--- a/tests/test_platform_session_endings.py
+++ b/tests/test_platform_session_endings.py
@@ -1,4 +1,4 @@
-"""Ends that cross a hand-over, a broken connection or a silence, at the platform's core and its lines."""
+"""Session ends that cross a handover, a closed connection or a silence, in the core and in server pools."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return [data.split(b" ")[0] for _, _, data in world.sent_to_servers if tag.encode() in data]
 
 
-@pytest.mark.parametrize(("cause", "told"), [(16, [16]), (41, [41]), (31, [])])
+@pytest.mark.parametrize(("cause", "expected_causes"), [(16, [16]), (41, [41]), (31, [])])
 def test_an_end_reported_by_the_server_before_the_handover_reaches_the_viewer(
     cause: int, expected_causes: list[int]
 ) -> None:
@@ -56,7 +56,7 @@
     world = World()
     world.receive_from_viewer(finish_line(name(1), 16), conn=2)
     world.receive_from_viewer(handover_line(name(1)))
-    assert world.verbs(name(1)) == ["FINISHED"]  # heard, and nothing else is owed
+    assert world.verbs(name(1)) == ["FINISHED"]  # confirmed, and nothing else is sent
     assert methods_sent(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
 
 
@@ -112,19 +112,15 @@
 def test_sessions_are_lost_if_a_silent_server_answers_just_before_the_timeout(
     back: float, lost: bool
 ) -> None:
-    receive_from_server = make_pool()
-    receive_from_server.handle(0, server_pool.SessionsChanged(1))
-    receive_from_server.handle(1, server_pool.ConnectionOpened(1))
-    receive_from_server.handle(2, server_pool.DataReceived(1))
-    for now in range(100, int(back), 100):  # each try to reach it fails in its time
-        for action in receive_from_server.handle(now, server_pool.Tick()):
+    server = make_pool()
+    server.handle(0, server_pool.SessionsChanged(1))
+    server.handle(1, server_pool.ConnectionOpened(1))
+    server.handle(2, server_pool.DataReceived(1))
+    for now in range(100, int(back), 100):  # each attempt to connect times out
+        for action in server.handle(now, server_pool.Tick()):
             assert not isinstance(action, server_pool.SessionsLost)
-    opening = [
-        conn
-        for conn, client_connections in receive_from_server.connections.items()
-        if not client_connections.up
-    ]
-    said = receive_from_server.handle(back, server_pool.ConnectionOpened(opening[-1])) if opening else []
+    opening = [conn for conn, connection in server.connections.items() if not connection.up]
+    said = server.handle(back, server_pool.ConnectionOpened(opening[-1])) if opening else []
     assert opening and (server_pool.SessionsLost(server_pool.SILENT) in said) is lost
     assert said[-1] == server_pool.PingConnection(opening[-1])
 
@@ -147,25 +143,19 @@
 
 @pytest.mark.parametrize("how", ["gone", "left out of a whole list"])
 def test_a_server_relisted_as_a_new_process_has_lost_its_sessions(how: str) -> None:
-    """Both in one look: its silence has not been noticed, and its new process answers tests."""
+    """Both between two ticks: its silence was not noticed, and its new process answers pings."""
     world = World()
     node, _ = world.start_session(name(1))
     other, _ = world.start_session(name(2))
     before = world.config.known[0]
-    [entry] = [
-        receive_from_server for receive_from_server in before.servers if receive_from_server.info.node == node
-    ]
+    [entry] = [server for server in before.servers if server.info.node == node]
     if how == "gone":
         off = ListUpdate(2, False, (replace(entry, info=replace(entry.info, status=fl.Status.GONE)),))
     else:
         off = ListUpdate(
             2,
             True,
-            tuple(
-                receive_from_server
-                for receive_from_server in before.servers
-                if receive_from_server.info.node != node
-            ),
+            tuple(server for server in before.servers if server.info.node != node),
         )
     world.handle(ev.ListUpdated(off))
     world.now += 500
@@ -187,20 +177,12 @@
             ListUpdate(
                 2,
                 True,
-                tuple(
-                    receive_from_server
-                    for receive_from_server in before.servers
-                    if receive_from_server.info.node != node
-                ),
+                tuple(server for server in before.servers if server.info.node != node),
             )
         )
     )
-    for number, started in ((3, 0.0), (4, world.now - 10)):  # of before the session began
-        [entry] = [
-            receive_from_server
-            for receive_from_server in before.servers
-            if receive_from_server.info.node == node
-        ]
+    for number, started in ((3, 0.0), (4, world.now - 10)):  # from before the session began
+        [entry] = [server for server in before.servers if server.info.node == node]
         info = replace(entry.info, started_ms=started)
         world.handle(ev.ListUpdated(ListUpdate(number, False, (replace(entry, info=info),))))
     assert world.verbs(name(1)) == ["STARTED"]
@@ -227,9 +209,7 @@
     world = World()
     node, _ = world.start_session(name(1))
     before = world.config.known[0]
-    [entry] = [
-        receive_from_server for receive_from_server in before.servers if receive_from_server.info.node == node
-    ]
+    [entry] = [server for server in before.servers if server.info.node == node]
     anew = replace(entry, info=replace(entry.info, started_ms=world.now + 10))
     taker = replace(entry, info=replace(entry.info, node=77, started_ms=world.now + 20))
     last = replace(entry, info=replace(entry.info, node=78), address=Address("10.0.0.78", 5060))
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -354,28 +354,28 @@
     async def test() -> None:
         async with scene(tmp_path, boxes=1, limits__keepalive_ms=1.0) as world:
             viewer = await world.viewer()
-            client_connections: list[tuple[str, bytes, asyncio.StreamWriter]] = []
+            received: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
             def hold(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
-                client_connections.append((tag, body, writer))
-                return len(client_connections) < 3
+                received.append((tag, body, writer))
+                return len(received) < 3
 
             [box] = world.boxes
             box.behave = hold
             for k in (1, 2, 3):
                 viewer.send(start_line(name(k), opts={"left": "60000"}))
-            await box.until(lambda: len(client_connections) == 3)
-            for tag, body, writer in client_connections[:2]:
+            await box.until(lambda: len(received) == 3)
+            for tag, body, writer in received[:2]:
                 writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
             for _ in range(3):
                 answer = await viewer.read()
                 assert answer is not None and answer["verb"] == "STARTED"
             while not world.director.count["box connections retired"]:
                 await asyncio.sleep(0.005)
-            for tag, _, writer in client_connections:  # each on the connection of its set-up, retired or not
+            for tag, _, writer in received:  # each on the connection of its set-up, retired or not
                 writer.write(rtsp_request("TEARDOWN", tag, "Reason: cause=16\r\n"))
             over = {m["tag"] for m in [await viewer.read() for _ in range(3)] if m and m["verb"] == "FINISH"}
-            assert over == {tag for tag, _, _ in client_connections}
+            assert over == {tag for tag, _, _ in received}
 
     play(test)
 
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -562,9 +562,7 @@
             for viewer in bad:
                 assert await viewer.read() is None
             # one of the two answers is spoilt: it costs its own session
-            [(first, _, spoilt), (second, body, writer)] = [
-                client_connections for each in out for client_connections in each
-            ]
+            [(first, _, spoilt), (second, body, writer)] = [setup for each in out for setup in each]
             put(spoilt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
             answer = await good.answer(first)
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -1,7 +1,7 @@
-"""Crossings on a platform director's watch of the box list: connections, reloads, gaps, drains.
+"""Events that cross on a platform director's watch of the server list: connections, reloads, gaps, drains.
 
-Loopback sockets, but for the fleet that comes back at once, which is in virtual time. All pairs:
-`docs/design/crossings.md`.
+The tests use loopback sockets, except for the fleet that reconnects at once, which runs in virtual time. All
+pairs: `docs/design/crossings.md`.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
     def too_late(self: DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
-        if not given_up:  # its time is up in the very turn in which it is made, before its task goes on
+        if not given_up:  # it times out in the iteration in which it opens, before its task resumes
             given_up.append(self)
             discovery = self._owner
             assert isinstance(discovery, Discovery)
@@ -76,7 +76,7 @@
         director = PlatformDirector(read(file.read_bytes()), str(file), loop)
         raw = json.loads(file.read_bytes())
         file.write_bytes(json.dumps(dict(raw, coordinator=feeds[1].address)).encode())
-        director.reload()  # the signal came between the reading of the file and the first connection
+        director.reload()  # the signal arrives between the reading of the file and the first connection
         await director.start()
         await feeds[1].connected.wait()
         while director.discovery.connection is None:
@@ -101,7 +101,7 @@
             await numbered(world.director, 2)
             later.frames.append((3, 2, record(1, world.boxes[0].address, state=0)))
             reload_to(world, later.address)
-            # what it writes from here on is behind the reload, whenever it arrives
+            # what it writes from here on is sent after the reload
             world.feed.tell(3, 2, record(2, world.boxes[1].address, state=2))
             world.feed.tell(4, 2, record(1, world.boxes[0].address, state=2))
             await later.connected.wait()
@@ -128,7 +128,7 @@
             world.feed.tell(2, 2, record(1, addresses[0], started=cold_since))
             world.feed.tell(3, 2, record(2, addresses[1], state=1, cell=1))
             await numbered(director, 3)
-            # gaps that do not close: the whole list is asked for, and its number is the one held
+            # permanent gaps: the full list is requested, and its number is the current one
             whole = [
                 record(1, addresses[0], started=cold_since),
                 record(2, addresses[1], state=1, cell=1),
@@ -167,7 +167,7 @@
             told: list[int] = []
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
-                if not told:  # the box was chosen and has a connection; its bytes are about to be made
+                if not told:  # the server is chosen and connected; the set-up is about to be written
                     told.append(node)
                     other = 3 - node
                     drain = frame(2, 2, record(node, addresses[node - 1], state=1, cell=node - 1))
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("how", ["refused", "silent"])
 def test_two_hundred_directors_reconnect_soon_and_not_at_the_same_moment(how: str) -> None:
-    """The coordinator is down: connections break and are refused, or it and its address fall silent."""
+    """The coordinator is down: connections close and are refused, or get no reply at all."""
     feeds = [discovery_watch.DiscoveryWatch(Address("10.0.0.1", 4222), 1, seed) for seed in range(DIRECTORS)]
     queue: list[tuple[float, int, int, discovery_watch.Event]] = []
     order = 0
@@ -235,8 +235,8 @@
     assert all(t < 0 or t >= DOWN_MS for mine in asked for t in mine)
     assert (
         max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
-    )  # told long before 4 s
+    )  # long before 4 s
     most = max(sum(1 for t in back if start <= t < start + 50) for start in range(0, int(max(back)), 10))
-    assert most <= DIRECTORS / 4, sorted(back)  # of all in any 50 ms
+    assert most <= DIRECTORS / 4, sorted(back)  # share of the fleet in any 50 ms
     during = sum(1 for t in tried if 0 <= t < DOWN_MS)
     assert during <= DIRECTORS * (DOWN_MS / (discovery_watch.MAX_BACKOFF_MS * 0.75) + 6)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,7 @@
-"""Ports for tests: outside the ephemeral range, one worker's, handed out once, held while a test runs."""
+"""Ports for tests lie outside the ephemeral range, belong to one worker and are reserved during a test.
+
+Guards against tests that fail because another process or worker listens on their port.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 def next_ports(count: int) -> range:
-    """What this worker's allocator hands out next where nobody else uses it."""
+    """Return the ports this worker's allocator returns next if none is in use."""
     own = worker_ports(fixed_ports(ephemeral_ports()), os.environ)
     begin = own.index(allocator().allocate()) + 1
     return own[begin : begin + count]
@@ -80,7 +83,7 @@
     assert worker_ports(range(10, 20), replaced) == range(10, 20, 4)
 
 
-# ---- Handed out once --------------------------------------------------------------------------------------
+# ---- Allocated once ---------------------------------------------------------------------------------------
 def test_no_port_is_allocated_twice_even_after_its_release() -> None:
     handed_out = []
     for _ in range(20):
@@ -98,7 +101,7 @@
 def listener_unless_in_use(port: int) -> contextlib.AbstractContextManager[object]:
     try:
         return socket.create_server((HOST, port))
-    except OSError:  # another run of the tests uses it: it is taken all the same
+    except OSError:  # used by another test run, which serves the purpose as well
         return contextlib.nullcontext()
 
 
@@ -113,7 +116,7 @@
 
 def test_an_exhausted_range_raises_an_error() -> None:
     ports = PortAllocator(next_ports(2))
-    with pytest.raises(NoPortLeftError, match="no port left of range"):
+    with pytest.raises(NoPortLeftError, match="no free port left in range"):
         for _ in range(3):
             ports.allocate()
     ports.release_all()
@@ -127,7 +130,7 @@
     HeldPort(port).release()
 
 
-# ---- Held -------------------------------------------------------------------------------------------------
+# ---- Reserved ---------------------------------------------------------------------------------------------
 def test_a_reserved_port_refuses_connections() -> None:
     held = HeldPort()
     with pytest.raises(ConnectionRefusedError):
@@ -180,7 +183,7 @@
     numbers = {held.port for held in held_ports}
     assert len(numbers) == HELD_PORTS
     with socket.create_server((HOST, 0)) as listener:
-        for _ in range(DRAWS):  # of some 14,000 ports each time: several would be held ones
+        for _ in range(DRAWS):  # each of some 14,000 ports, so several would be reserved ones
             with socket.create_connection(listener.getsockname()) as outgoing, socket.socket() as bound:
                 bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 bound.bind((HOST, 0))
