--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -1,7 +1,8 @@
-"""Two events that cross at a platform director, each forced on loopback sockets.
+"""Pairs of events that cross at a platform director, each forced on loopback sockets.
 
-What is ready in one turn of the loop is made ready in one turn: bytes go into the machine's buffers by calls
-that do not wait, and then the director's own timer is run by hand. All pairs: `docs/design/crossings.md`.
+Guards against faults that occur only if both events are ready in one iteration of the event loop. To force
+this, bytes are put into the kernel's buffers by calls that do not wait, and the director's timer is run
+directly. All pairs: `docs/design/crossings.md`.
 """
 
 from __future__ import annotations
@@ -48,12 +49,12 @@
 
 
 def push(viewer: Viewer, data: bytes) -> None:
-    """Into the machine's buffers at once, not by the loop."""
+    """Write into the kernel's buffers at once, not through the loop."""
     assert os.write(viewer.writer.get_extra_info("socket").fileno(), data) == len(data)
 
 
 def connected(world: Scene, data: bytes = b"", receive_buffer: int | None = None) -> socket.socket:
-    """A connection in the accept queue, with bytes behind it, before the loop looks.
+    """Open a connection that waits in the accept queue, with unread bytes, until the loop runs.
 
     `receive_buffer`: bytes, set before it connects: a window that shrinks later loses acknowledgements.
     """
@@ -68,7 +69,7 @@
 
 
 async def lines_of(sock: socket.socket, until: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
-    """Messages on a bare socket up to one; all there are where the connection ends first."""
+    """Return the messages on a plain socket up to the one wanted, or all if the connection closes before."""
     reader, _ = await asyncio.open_connection(sock=sock)
     found: list[dict[str, Any]] = []
     while line := await reader.readline():
@@ -79,7 +80,7 @@
 
 
 def skip_arrival_window(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stop need not wait for requests that are still on their way: those of a test are not."""
+    """Make a stop not wait for requests under way: a test has none."""
     monkeypatch.setattr(stop, "ARRIVAL_SLACK_MS", -stop.ARRIVAL_WINDOW_MS)
 
 
@@ -97,7 +98,7 @@
             world.director.stop()
             push(viewer, start_line(name(2)))  # unread
             queued = connected(world, start_line(name(3)))  # not accepted
-            world.director._tick()  # nothing is owed by what was read
+            world.director._tick()  # no work is pending from what was read
             await world.director.ended
             await world.director.close()
             answer = await viewer.answer(name(2))
@@ -116,7 +117,7 @@
             unreading.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
             world.director.stop()
             world.director._tick()
-            for _ in range(4 * stop.MIN_QUIET_CHECKS):  # turns of the loop, enough for an end
+            for _ in range(4 * stop.MIN_QUIET_CHECKS):  # iterations of the loop, enough for an exit
                 await asyncio.sleep(0)
             assert unsent(world) and not world.director.ended.done()
             unreading.reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -136,18 +137,18 @@
         entry["deadline_ms"] = 60_000.0
 
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, categories=long) as world:
+        async with scene(tmp_path, servers=1, categories=long) as world:
             viewer = await world.viewer()
-            [box] = world.boxes
-            box.behave = lambda tag, body, writer: True  # never answers
+            [server] = world.servers
+            server.behave = lambda tag, body, writer: True  # never answers
             viewer.send(start_line(name(1), klass, opts={"left": "60000"}))
-            await box.until(lambda: "SETUP" in box.methods(name(1)))
+            await server.until(lambda: "SETUP" in server.methods(name(1)))
             world.director.stop()
             world.director._stop._stop_at -= world.director._stop.killed_after_ms - stop.FINAL_ANSWERS_MS
             world.director._tick()
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", cause)
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             await world.director.ended
             assert not world.director.core.table_sizes()["attempts"]
 
@@ -159,7 +160,7 @@
     os.mkfifo(file)
     env = dict(os.environ, BALANCER_CONFIG=str(file))
     director = subprocess.Popen([sys.executable, "-m", "foxlift.platform"], env=env)
-    with open(file, "wb"):  # it opens the file: the process is in its start
+    with open(file, "wb"):  # the process has opened the file, so it is starting
         director.send_signal(signal.SIGTERM)
         assert director.wait(timeout=30) in (0, -signal.SIGTERM)
     host, _, port = address.rpartition(":")
@@ -171,7 +172,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        box, feed = await StandInBox().start(), await StandInCoordinator().start()
+        server, coordinator = await StandInBox().start(), await StandInCoordinator().start()
         later, address = await StandInCoordinator().start(), free_address()
         out: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
@@ -179,15 +180,15 @@
             out.append((tag, body, writer))
             return True
 
-        box.behave = hold
-        members = [member(1, box.address)]
-        director = process(tmp_path, config(members, feed.address, listen=address))
+        server.behave = hold
+        members = [member(1, server.address)]
+        director = process(tmp_path, config(members, coordinator.address, listen=address))
         assert director.stderr is not None
         loop = asyncio.get_running_loop()
         assert b"serving" in await loop.run_in_executor(None, director.stderr.readline)
         viewer = await Viewer.connect(address)
         viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
-        await box.until(lambda: bool(out))
+        await server.until(lambda: bool(out))
         director.send_signal(signal.SIGTERM)
         assert b"stopping" in await loop.run_in_executor(None, director.stderr.readline)
         director.send_signal(signal.SIGTERM)
@@ -198,7 +199,7 @@
         writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
         answer = await viewer.answer(tag)
         assert answer is not None and answer["verb"] == "STARTED"
-        # a reload that comes at any moment of the end is no end of its own
+        # a reload at any moment of the stop must not kill the process
         while director.poll() is None:
             director.send_signal(signal.SIGHUP)
             await asyncio.sleep(0)
@@ -206,16 +207,16 @@
         assert director.returncode == 0 and b"exception" not in text and b"ended: asked 1" in text
         assert text.count(b"stopping") == 0
         director.stderr.close()
-        feed.stop()
+        coordinator.stop()
         later.stop()
-        await box.stop()
+        await server.stop()
 
     play(test)
 
 
-# ---- A client that left while it waited -------------------------------------------------------------------
+# ---- A client that left while its request waited ----------------------------------------------------------
 class Leaver:
-    """A viewer on a bare socket: what it does has happened when the call returns."""
+    """A viewer on a plain socket: its actions are complete when a call returns."""
 
     def __init__(self, world: Scene, receive_buffer: int | None = None) -> None:
         self.sock = connected(world, receive_buffer=receive_buffer)
@@ -241,7 +242,7 @@
 
 
 def delay_connects(world: Scene) -> asyncio.Event:
-    """Connections to boxes are tried only once the event is set."""
+    """Delay connecting to servers until the event is set."""
     opened, connect = asyncio.Event(), world.director.servers._connect
 
     async def late(node: int, conn: int, address: Any) -> None:
@@ -253,7 +254,7 @@
 
 
 async def fill(world: Scene, unreading: Viewer) -> None:
-    """A viewer that does not read, with so much unsent that it would not be read from."""
+    """Leave so much unsent to the viewer that reading from it would be paused."""
     echo = await stop_reading(world, unreading)
     [connection] = client_connections(world)
     while not connection._write_blocked:
@@ -261,7 +262,7 @@
 
 
 async def serve_another(world: Scene, number: int, left_ms: int = 1000) -> None:
-    """Whoever comes later is served: what was to be sent before it has been sent by then."""
+    """Start a later session; everything that is sent before it has been sent when this returns."""
     later = await world.viewer()
     later.send(start_line(name(number), opts={"left": str(left_ms)}))
     answer = await later.answer(name(number))
@@ -269,11 +270,11 @@
 
 
 def sent(world: Scene, number: int) -> int:
-    return sum(box.methods(name(number)).count("SETUP") for box in world.boxes)
+    return sum(server.methods(name(number)).count("SETUP") for server in world.servers)
 
 
 def stall_loop(world: Scene, first: Callable[[], None]) -> asyncio.Event:
-    """The next bytes of a viewer find the loop busy: what happens meanwhile is ready in one turn."""
+    """Call `first` while the loop reads the next bytes of a viewer: its effects are ready together."""
     done = asyncio.Event()
     read = world.director.client_read
 
@@ -290,7 +291,7 @@
 @left_by
 def test_a_client_leaves_together_with_its_request_during_a_stall(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
+        async with scene(tmp_path, servers=1) as world:
             viewer, other = Leaver(world), await world.viewer()
             other.send(start_line(name(8)))
             assert await other.answer(name(8))
@@ -314,7 +315,7 @@
         async with scene(tmp_path) as world:
             viewer, other = Leaver(world), await world.viewer()
             k = 10
-            while not all(box.writers for box in world.boxes):  # each has a connection that is free
+            while not all(server.writers for server in world.servers):  # each has an idle connection
                 other.send(start_line(name(k), title=name(k)))
                 assert await other.answer(name(k))
                 k += 1
@@ -324,13 +325,13 @@
                 if tag != name(1) or tried:
                     return False
                 tried.append(tag)
-                # the refusal and the leaving lie in the machine's buffers before the director looks again
+                # the refusal and the leaving are in the kernel's buffers before the director reads again
                 assert os.write(writer.get_extra_info("socket").fileno(), rtsp_answer(453, tag))
                 viewer.leave(leave)
                 return True
 
-            for box in world.boxes:
-                box.behave = refuse
+            for server in world.servers:
+                server.behave = refuse
             viewer.send(start_line(name(1)))
             while not tried:
                 await asyncio.sleep(0)
@@ -343,7 +344,7 @@
 @left_by
 def test_a_client_leaves_while_the_connection_to_its_server_opens(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
             loop, open_now = asyncio.get_running_loop(), delay_connects(world)
             viewer = Leaver(world)
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
@@ -360,8 +361,8 @@
 @left_by
 def test_a_client_leaves_while_its_set_up_waits_behind_another(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, sockets=64, limits__max_streams=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1, sockets=64, limits__max_streams=1) as world:
+            [server] = world.servers
             world.director.servers.pools[1].max_connections = 1
             out: list[tuple[bytes, asyncio.StreamWriter]] = []
 
@@ -370,10 +371,10 @@
                     out.append((body, writer))
                 return tag == name(7)
 
-            box.behave = hold
+            server.behave = hold
             first, viewer = await world.viewer(), Leaver(world)
             first.send(start_line(name(7), opts={"left": "60000"}))
-            await box.until(lambda: bool(out))
+            await server.until(lambda: bool(out))
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.pools[1].waiting:
                 await asyncio.sleep(0)
@@ -389,7 +390,7 @@
 @pytest.mark.parametrize("leave", ["take-back", "end of stream"])
 def test_a_client_leaves_with_unread_answers(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
             open_now = delay_connects(world)
             unreading = await world.viewer(SMALL_BUFFER)
             unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
@@ -404,7 +405,9 @@
             [opening] = client_connections(world)
             while world.director.core.open_requests(opening.number):
                 await asyncio.sleep(0)
-            counts = world.director.core.counts  # it was heard, and not answered or shut in the end
+            counts = (
+                world.director.core.counts
+            )  # its message was received; it was neither answered nor closed
             assert counts["given up"] + counts["left with its connection"] == 1
             assert world.director.count["viewer overdue"] == 0
             open_now.set()
@@ -417,13 +420,13 @@
 
 def test_a_connection_closed_for_invalid_bytes_withdraws_its_waiting_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
             open_now = delay_connects(world)
             unreading = await world.viewer(SMALL_BUFFER)
             unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
-            await fill(world, unreading)  # so its connection lasts past its close, for what is unsent
+            await fill(world, unreading)  # so its connection outlasts its close because of unsent bytes
             push(unreading, b"noise\n")
             while world.director.core.unanswered:
                 await asyncio.sleep(0)
@@ -436,11 +439,11 @@
     play(test)
 
 
-# ---- Boxes ------------------------------------------------------------------------------------------------
+# ---- Servers ----------------------------------------------------------------------------------------------
 def test_a_set_up_assigned_to_a_connection_that_the_server_closes_is_sent_on_another(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__max_streams=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1, limits__max_streams=1) as world:
+            [server] = world.servers
             world.director.servers.pools[1].max_connections = 1
             out: list[tuple[bytes, asyncio.StreamWriter]] = []
 
@@ -449,16 +452,16 @@
                     out.append((body, writer))
                 return tag == name(7)
 
-            box.behave = hold
+            server.behave = hold
             viewer = await world.viewer()
             viewer.send(start_line(name(7), opts={"left": "60000"}))
-            await box.until(lambda: bool(out))
+            await server.until(lambda: bool(out))
             for k in (1, 2, 3):
                 viewer.send(start_line(name(k), "paid", opts={"left": "60000"}))
             while len(world.director.servers.pools[1].waiting) < 3:
                 await asyncio.sleep(0)
             [(body, writer)] = out
-            # the answer frees the connection for the next set-up, and its end lies right behind it
+            # the answer frees the connection for the next set-up, and its end of stream follows at once
             far = writer.get_extra_info("socket")
             os.write(far.fileno(), rtsp_answer(200, name(7), b"box\r\n" + body))
             with socket.socket(fileno=os.dup(far.fileno())) as end:
@@ -472,8 +475,8 @@
 
 def test_a_release_to_a_server_is_sent_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             director, loop = world.director, asyncio.get_running_loop()
             viewer = await world.viewer()
             viewer.send(start_line(name(1)))
@@ -492,18 +495,18 @@
                     await connect(node, conn, address)
 
             director.servers._connect = at_will  # type: ignore[method-assign]
-            for writer in box.writers:
+            for writer in server.writers:
                 writer.transport.abort()
             while not tries:
                 await asyncio.sleep(0)
-            viewer.send(finish_line(name(1), 16))  # while the connection for it is opening
+            viewer.send(finish_line(name(1), 16))  # while a connection to send it on opens
             while not director.servers.unsent:
                 await asyncio.sleep(0)
             tries[0].set_exception(TimeoutError())
             while len(tries) < 2:
                 await asyncio.sleep(0)
             tries[1].set_result(None)
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             assert not director.servers.unsent
 
     play(test)
@@ -511,16 +514,16 @@
 
 def test_a_removed_server_that_is_relisted_is_used_at_its_new_address(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            await world.feed.connected.wait()
+        async with scene(tmp_path, servers=1) as world:
+            await world.coordinator.connected.wait()
             viewer = await world.viewer()
             viewer.send(start_line(name(1)))
             assert await viewer.answer(name(1))
             other = await StandInBox().start()
-            world.boxes.append(other)
-            # gone and back in one read, before its line is dropped: its session keeps that
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=2))
-            world.feed.tell(3, 2, record(1, other.address))
+            world.servers.append(other)
+            # removed and relisted in one read, before its pool is dropped, since it has a session
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=2))
+            world.coordinator.tell(3, 2, record(1, other.address))
             while world.director.discovery.watch.number < 3:
                 await asyncio.sleep(0)
             viewer.send(finish_line(name(1)))
@@ -538,14 +541,14 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            await world.feed.connected.wait()
+        async with scene(tmp_path, servers=1) as world:
+            await world.coordinator.connected.wait()
             director, opened = world.director, delay_connects(world)
             viewer = await world.viewer()
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not director.servers.opening:
                 await asyncio.sleep(0)
-            world.feed.tell(2, 2, record(2, world.boxes[0].address))  # box 2 at the address of box 1
+            world.coordinator.tell(2, 2, record(2, world.servers[0].address))  # box 2 at the address of box 1
             answer = asyncio.ensure_future(viewer.answer(name(1)))
             while not any(node == 2 for node, _ in director.servers.opening):
                 await asyncio.sleep(0)
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -134,12 +134,12 @@
             assert await last.answer(name(30_000)) is not None
             assert at.descriptors() < DESCRIPTORS
 
-            feed = StandInCoordinator()
+            coordinator = StandInCoordinator()
             server = await StandInBox().start()
-            feed.frames = [(2, 1, record(SERVERS + 1, server.address))]
-            feed._server = await asyncio.start_server(feed._serve, *address.split(":"))
-            await asyncio.wait_for(feed.connected.wait(), USUAL_WAIT_S)
-            assert feed.asked == [1]
+            coordinator.frames = [(2, 1, record(SERVERS + 1, server.address))]
+            coordinator._server = await asyncio.start_server(coordinator._serve, *address.split(":"))
+            await asyncio.wait_for(coordinator.connected.wait(), USUAL_WAIT_S)
+            assert coordinator.asked == [1]
             newcomer = await Viewer.connect(at.address)
             loop = asyncio.get_running_loop()
             number, until = 40_000, loop.time() + USUAL_WAIT_S
@@ -155,7 +155,7 @@
             await asyncio.wait_for(moved.connected.wait(), USUAL_WAIT_S)
             assert moved.asked == [2] and at.descriptors() < DESCRIPTORS
             assert "exception" not in at.log() and len(at.log()) < 100_000
-            for stopped in (feed, moved):
+            for stopped in (coordinator, moved):
                 stopped.stop()
             await server.stop()
             for client in (usual, last, newcomer, *idle):
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -1,4 +1,7 @@
-"""A platform director on loopback sockets between stand-in viewers, boxes and coordinator."""
+"""A platform director on loopback sockets with stand-ins for viewers, servers and the coordinator.
+
+Guards against faults of the wiring: connections, timers, limits of buffers, and signals of a real process.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
     start_line,
 )
 
-SMALL_BUFFER = 4096  # bytes, of the machine's for one direction of a connection
+SMALL_BUFFER = 4096  # bytes, of the kernel's buffer for one direction of a connection
 
 
 def name(number: int) -> str:
@@ -48,48 +51,52 @@
 
 
 class Scene:
-    """A director and the parties round it."""
+    """A director with its stand-ins."""
 
     def __init__(
-        self, director: PlatformDirector, boxes: list[StandInBox], feed: StandInCoordinator, path: Path
+        self,
+        director: PlatformDirector,
+        servers: list[StandInBox],
+        coordinator: StandInCoordinator,
+        path: Path,
     ):
-        self.director, self.boxes, self.feed, self.path = director, boxes, feed, path
+        self.director, self.servers, self.coordinator, self.path = director, servers, coordinator, path
         self.address = f"{director.config.listen.host}:{director.config.listen.port}"
-        self.viewers: list[Viewer] = []  # kept: a connection that nobody holds may be closed at any time
+        self.viewers: list[Viewer] = []  # referenced here so that their connections stay open
 
     async def viewer(self, receive_buffer: int | None = None) -> Viewer:
         self.viewers.append(await Viewer.connect(self.address, receive_buffer))
         return self.viewers[-1]
 
-    def box_of(self, tag: str) -> StandInBox:
-        return next(box for box in self.boxes if "SETUP" in box.methods(tag))
+    def server_of(self, tag: str) -> StandInBox:
+        return next(server for server in self.servers if "SETUP" in server.methods(tag))
 
 
 @asynccontextmanager
-async def scene(path: Path, boxes: int = 2, **more: Any) -> AsyncIterator[Scene]:
-    feed = await StandInCoordinator().start()
-    stand_ins = [await StandInBox().start() for _ in range(boxes)]
-    members = [member(k + 1, box.address, cell=k % 4) for k, box in enumerate(stand_ins)]
+async def scene(path: Path, servers: int = 2, **more: Any) -> AsyncIterator[Scene]:
+    coordinator = await StandInCoordinator().start()
+    stand_ins = [await StandInBox().start() for _ in range(servers)]
+    members = [member(k + 1, server.address, cell=k % 4) for k, server in enumerate(stand_ins)]
     file = path / "config.json"
-    file.write_bytes(config(members, feed.address, free_address(), **more))
+    file.write_bytes(config(members, coordinator.address, free_address(), **more))
     director = PlatformDirector(read(file.read_bytes()), str(file), asyncio.get_running_loop())
     errors: list[dict[str, Any]] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
     await director.start()
     try:
-        yield Scene(director, stand_ins, feed, file)
+        yield Scene(director, stand_ins, coordinator, file)
     finally:
         await director.close()
-        feed.stop()
-        for box in stand_ins:
-            await box.stop()
+        coordinator.stop()
+        for server in stand_ins:
+            await server.stop()
         await asyncio.sleep(0)
     assert not errors, errors
 
 
 def play(test: Callable[[], Awaitable[None]]) -> None:
     async def run() -> None:
-        # a wait for what never comes must fail, not hang: uvloop does not let the test runner's alarm through
+        # a time-out here, because uvloop does not pass the alarm of the test runner
         await asyncio.wait_for(test(), 40)
 
     uvloop.run(run())
@@ -103,8 +110,8 @@
             started = await viewer.answer(name(1))
             assert started is not None and started["verb"] == "STARTED"
             assert started["blob"] == f"box\r\n{name(1)}\r\nm=audio 1 RTP/AVP 0\r\n"
-            box = world.box_of(name(1))
-            for writer in box.writers:
+            server = world.server_of(name(1))
+            for writer in server.writers:
                 writer.write(rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
             over = await viewer.answer(name(1))
             assert over is not None and (over["verb"], over["rc"]) == ("FINISH", 16)
@@ -129,9 +136,9 @@
 )
 def test_an_invalid_answer_affects_its_own_session_only(tmp_path: Path, spoilt: bytes) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
+        async with scene(tmp_path, servers=1) as world:
             viewer = await world.viewer()
-            [box] = world.boxes
+            [server] = world.servers
             waits: list[tuple[bytes, asyncio.StreamWriter]] = []
 
             def behave(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
@@ -141,9 +148,9 @@
                     waits.append((body, writer))
                 return True
 
-            box.behave = behave
+            server.behave = behave
             viewer.send(start_line(name(77), opts={"left": "60000"}))
-            await box.until(lambda: bool(waits))
+            await server.until(lambda: bool(waits))
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
@@ -176,11 +183,11 @@
             good.send(start_line(name(9)))
             first = await good.answer(name(9))
             assert first is not None and first["verb"] == "STARTED"
-            silent = [await world.viewer() for _ in range(200)]  # more than there is room for
+            silent = [await world.viewer() for _ in range(200)]  # more than the bound
             good.send(start_line(name(2)))
             answer = await good.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED"
-            for viewer in silent:  # each is closed in time
+            for viewer in silent:  # each is closed within its time limit
                 assert await viewer.read() is None
 
     play(test)
@@ -231,7 +238,7 @@
 
 
 async def send_more(world: Scene, unreading: Viewer, echo: bytes) -> None:
-    """Nothing is kept here: a director that reads no more must not fill this process's memory."""
+    """Write only if the buffer is empty, so that a director that does not read cannot fill the memory."""
     assert client_connections(world), "dropped"
     if not unreading.writer.transport.get_write_buffer_size():
         unreading.writer.write(echo)
@@ -280,7 +287,7 @@
                 viewer.send(start_line(name(k)))
                 answer = await viewer.answer(name(k))
                 assert answer is not None and answer["verb"] == "STARTED"
-            dead = world.box_of(name(1))
+            dead = world.server_of(name(1))
             mine = {name(k) for k in range(1, 9) if "SETUP" in dead.methods(name(k))}
             await dead.stop()
             over: set[str] = set()
@@ -298,12 +305,12 @@
             viewer = await world.viewer()
             viewer.send(start_line(name(1)))
             await viewer.answer(name(1))
-            box = world.box_of(name(1))
-            before = len(box.writers)
-            for writer in box.writers:
+            server = world.server_of(name(1))
+            before = len(server.writers)
+            for writer in server.writers:
                 writer.transport.abort()
-            await box.until(lambda: len(box.writers) > before)  # its test came on a new connection
-            box.writers[-1].write(rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
+            await server.until(lambda: len(server.writers) > before)  # its ping came on a new connection
+            server.writers[-1].write(rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
             over = await viewer.answer(name(1))
             assert over is not None and over["rc"] == 41
 
@@ -314,13 +321,13 @@
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
-            for box in world.boxes:
-                box.behave = lambda tag, body, writer: tag == name(1)  # never answers that one
+            for server in world.servers:
+                server.behave = lambda tag, body, writer: tag == name(1)  # does not answer this set-up
             viewer.send(start_line(name(1), "paid", opts={"left": "150"}))
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
-            box = world.box_of(name(1))
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            server = world.server_of(name(1))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
 
     play(test)
 
@@ -335,15 +342,17 @@
             first.close()
             while world.director._clients:
                 await asyncio.sleep(0.005)
-            box = world.box_of(name(1))
-            box.writers[-1].write(rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
+            server = world.server_of(name(1))
+            server.writers[-1].write(rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
             while not world.director.core.table_sizes()["releases"]:
                 await asyncio.sleep(0.005)
             second = await world.viewer()
             second.send(start_line(name(3)))
             seen = [await second.read(), await second.read()]
             assert {(m["tag"], m["verb"]) for m in seen if m} == {(name(1), "FINISH"), (name(3), "STARTED")}
-            world.box_of(name(2)).writers[-1].write(rtsp_request("TEARDOWN", name(2), "Reason: cause=16\r\n"))
+            world.server_of(name(2)).writers[-1].write(
+                rtsp_request("TEARDOWN", name(2), "Reason: cause=16\r\n")
+            )
             over = await second.answer(name(2))
             assert over is not None and over["verb"] == "FINISH"
 
@@ -352,7 +361,7 @@
 
 def test_a_release_that_crosses_the_retirement_of_an_idle_connection_is_received(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__keepalive_ms=1.0) as world:
+        async with scene(tmp_path, servers=1, limits__keepalive_ms=1.0) as world:
             viewer = await world.viewer()
             received: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
@@ -360,11 +369,11 @@
                 received.append((tag, body, writer))
                 return len(received) < 3
 
-            [box] = world.boxes
-            box.behave = hold
+            [server] = world.servers
+            server.behave = hold
             for k in (1, 2, 3):
                 viewer.send(start_line(name(k), opts={"left": "60000"}))
-            await box.until(lambda: len(received) == 3)
+            await server.until(lambda: len(received) == 3)
             for tag, body, writer in received[:2]:
                 writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
             for _ in range(3):
@@ -372,7 +381,7 @@
                 assert answer is not None and answer["verb"] == "STARTED"
             while not world.director.count["box connections retired"]:
                 await asyncio.sleep(0.005)
-            for tag, _, writer in received:  # each on the connection of its set-up, retired or not
+            for tag, _, writer in received:  # on the connection of its set-up, retired or not
                 writer.write(rtsp_request("TEARDOWN", tag, "Reason: cause=16\r\n"))
             over = {m["tag"] for m in [await viewer.read() for _ in range(3)] if m and m["verb"] == "FINISH"}
             assert over == {tag for tag, _, _ in received}
@@ -383,9 +392,9 @@
 def test_drains_persist_and_a_new_coordinator_is_used(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
-            assert world.feed.asked == [1]
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1, cell=0))
+            await world.coordinator.connected.wait()
+            assert world.coordinator.asked == [1]
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=1, cell=0))
             while world.director.core._servers[1].status.name != "DRAINING":
                 await asyncio.sleep(0.002)
             viewer = await world.viewer()
@@ -393,9 +402,9 @@
                 viewer.send(start_line(name(k)))
                 answer = await viewer.answer(name(k))
                 assert answer is not None and answer["verb"] == "STARTED"
-            assert not [m for m, _, _ in world.boxes[0].got if m == "SETUP"]
+            assert not [m for m, _, _ in world.servers[0].got if m == "SETUP"]
             other = await StandInCoordinator().start()
-            other.frames = [(2, 2, b""), (3, 2, record(1, world.boxes[0].address, state=0, cell=0))]
+            other.frames = [(2, 2, b""), (3, 2, record(1, world.servers[0].address, state=0, cell=0))]
             raw = json.loads(world.path.read_bytes())
             good = dict(raw, coordinator=other.address)
             for data in (
@@ -418,15 +427,15 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=4, sockets=64) as world:
+        async with scene(tmp_path, servers=4, sockets=64) as world:
             viewer = await world.viewer()
-            for box in world.boxes:
-                box.behave = lambda tag, body, writer: True  # hold all
+            for server in world.servers:
+                server.behave = lambda tag, body, writer: True  # answer none
             for k in range(1, 200):
                 viewer.send(start_line(name(k), opts={"left": "700"}))
             answers = [await viewer.read() for _ in range(199)]
             assert all(m is not None and m["verb"] == "FINISH" for m in answers)
-            opened = sum(len(box.writers) for box in world.boxes)
+            opened = sum(len(server.writers) for server in world.servers)
             assert opened > 0 and all(
                 len(line.connections) <= 64 * 0.3 / 4 for line in world.director.servers.pools.values()
             )
@@ -461,7 +470,7 @@
             answer = await good.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED"
             silent = await world.viewer()
-            assert await silent.read() is None  # timers still run: it is closed in time
+            assert await silent.read() is None  # timers still run: it is closed within its time limit
 
     play(test)
 
@@ -486,9 +495,9 @@
             for viewer, tag in ((first, name(1)), (second, name(2))):
                 answer = await viewer.answer(tag)
                 assert answer is not None and answer["verb"] == "STARTED"
-            asked = [entry for box in world.boxes for entry in box.got if entry[0] == "SETUP"]
+            asked = [entry for server in world.servers for entry in server.got if entry[0] == "SETUP"]
             [within] = [int(headers["answer-within"]) for _, tag, headers in asked if tag == name(2)]
-            assert within <= 905  # of the 1,000 ms that the viewer stated
+            assert within <= 905  # of the viewer's 1,000 ms
 
     play(test)
 
@@ -496,30 +505,30 @@
 def test_a_watch_closed_inside_a_frame_requests_from_the_last_update_received(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
-            event = frame(2, 2, record(1, world.boxes[0].address, state=1, cell=0))
-            for writer in world.feed.writers:
+            await world.coordinator.connected.wait()
+            event = frame(2, 2, record(1, world.servers[0].address, state=1, cell=0))
+            for writer in world.coordinator.writers:
                 writer.write(event[:20])
                 writer.close()
-            world.feed.frames.append((2, 2, event[13:]))
+            world.coordinator.frames.append((2, 2, event[13:]))
             while world.director.core._servers[1].status is not fl.Status.DRAINING:
                 await asyncio.sleep(0.002)
-            assert world.feed.asked == [1, 1]
+            assert world.coordinator.asked == [1, 1]
 
     play(test)
 
 
 def test_the_last_log_lines_hold_the_usage_of_each_server(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
+        async with scene(tmp_path, servers=1) as world:
             viewer = await world.viewer()
-            [box] = world.boxes
+            [server] = world.servers
             for k in (1, 2):
                 viewer.send(start_line(name(k)))
                 await viewer.answer(name(k))
-            box.behave = lambda tag, body, writer: True
+            server.behave = lambda tag, body, writer: True
             viewer.send(start_line(name(3), opts={"left": "60000"}))
-            await box.until(lambda: "SETUP" in box.methods(name(3)))
+            await server.until(lambda: "SETUP" in server.methods(name(3)))
             assert world.director.servers_line() == "s-00000001 plays 2 sets up 1 out 1 on 1"
             assert "asked 3" in world.director.summary_line()
 
@@ -565,7 +574,7 @@
 
 def test_a_stop_answers_received_and_late_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        box = await StandInBox().start()
+        server = await StandInBox().start()
         address = free_address()
         slow: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
@@ -573,21 +582,21 @@
             slow.append((tag, body, writer))
             return True
 
-        box.behave = later
-        feed = await StandInCoordinator().start()
-        director = process(tmp_path, config([member(1, box.address)], feed.address, listen=address))
+        server.behave = later
+        coordinator = await StandInCoordinator().start()
+        director = process(tmp_path, config([member(1, server.address)], coordinator.address, listen=address))
         assert director.stderr is not None
         loop = asyncio.get_running_loop()
         assert b"serving" in await loop.run_in_executor(None, director.stderr.readline)
         director.send_signal(signal.SIGHUP)
         viewer = await Viewer.connect(address)
         viewer.send(start_line(name(1), opts={"left": "60000"}))
-        await box.until(lambda: len(slow) == 1)
+        await server.until(lambda: len(slow) == 1)
         director.send_signal(signal.SIGTERM)
         assert b"stopping" in await loop.run_in_executor(None, director.stderr.readline)
         late = await Viewer.connect(address)
         late.send(start_line(name(2), opts={"left": "60000"}))
-        await box.until(lambda: len(slow) >= 2)
+        await server.until(lambda: len(slow) >= 2)
         for tag, body, writer in slow:
             writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
         for at, tag in ((viewer, name(1)), (late, name(2))):
@@ -597,7 +606,7 @@
         assert await loop.run_in_executor(None, director.wait) == 0
         assert b"ended: asked 2" in text
         director.stderr.close()
-        feed.stop()
-        await box.stop()
+        coordinator.stop()
+        await server.stop()
 
     play(test)
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -1,7 +1,8 @@
-"""Take-backs, answers, time-outs and closes that are ready in one turn of a platform director's loop.
+"""Cancels, answers, time-outs and closes that are ready in one iteration of a platform director's loop.
 
-Loopback sockets. What is ready together is put into the machine's buffers by calls that do not wait, while
-the loop stands still inside a read of another viewer's bytes. All pairs: `docs/design/crossings.md`.
+Guards against two answers, a lost answer or an attempt for a client that has left. Bytes that must be ready
+together are put into the kernel's buffers by calls that do not wait, while the loop is blocked in the read of
+another viewer's bytes. All pairs: `docs/design/crossings.md`.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
 )
 
 Out = list[tuple[str, bytes, asyncio.StreamWriter]]
-HELD = {"left": "60000"}
+LONG_TIME = {"left": "60000"}
 
 
-def holds(box: StandInBox, *tags: str) -> Out:
-    """The box takes these set-ups and says nothing; those that came."""
+def accept_silently(server: StandInBox, *tags: str) -> Out:
+    """Make the server accept these set-ups without an answer; return the list of those received."""
     out: Out = []
 
     def behave(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
@@ -47,39 +48,39 @@
             out.append((tag, body, writer))
         return tag in tags
 
-    box.behave = behave
+    server.behave = behave
     return out
 
 
-def put(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Into the machine's buffers at once, not by the loop."""
+def write_now(writer: asyncio.StreamWriter, data: bytes) -> None:
+    """Write into the kernel's buffers at once, not through the loop."""
     assert os.write(writer.get_extra_info("socket").fileno(), data) == len(data)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Its connection is reset, at once for the other side."""
+    """Reset the connection; the peer sees it at once."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 async def idle_connection(world: Scene, viewer: Viewer, number: int) -> None:
-    """Each box has a connection that a session was set up on and that is free."""
-    while not all(box.writers for box in world.boxes):
+    """Give each server an idle connection on which a session was set up."""
+    while not all(server.writers for server in world.servers):
         viewer.send(start_line(name(number), title=name(number)))
         assert await viewer.answer(name(number))
         number += 1
 
 
-async def settled(world: Scene) -> None:
-    """Nothing is asked or out any more."""
+async def wait_until_idle(world: Scene) -> None:
+    """Wait until no request is open and no set-up unanswered."""
     core = world.director.core
     while core.unanswered or any(line.in_flight for line in world.director.servers.pools.values()):
         await asyncio.sleep(0)
 
 
-async def told(viewer: Viewer, number: int) -> list[dict[str, Any]]:
-    """All that a viewer has been told by now but for `number`, which it asks to know that it has all."""
+async def messages_received(viewer: Viewer, number: int) -> list[dict[str, Any]]:
+    """Return all messages a viewer has received, except for `number`, requested as the last one."""
     viewer.send(b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % name(number).encode())
     found: list[dict[str, Any]] = []
     while (message := await viewer.read()) is not None and message["tag"] != name(number):
@@ -87,27 +88,27 @@
     return found
 
 
-# ---- Take-back, answer, time-out --------------------------------------------------------------------------
+# ---- Cancel, answer, time-out -----------------------------------------------------------------------------
 CROSSING = [
     order for some in (2, 3) for order in itertools.permutations(("answer", "take-back", "time-out"), some)
 ]
 
 
-@pytest.mark.parametrize("late_ms", [5.0, 50.0])  # a stall is long or the time-out came due near its end
+@pytest.mark.parametrize("late_ms", [5.0, 50.0])  # a long stall, or a time-out that expires near its end
 @pytest.mark.parametrize("klass", ["paid", "free"])
 @pytest.mark.parametrize("order", CROSSING, ids=["-".join(order) for order in CROSSING])
 def test_events_ready_in_one_iteration_give_one_end(
     tmp_path: Path, order: tuple[str, ...], klass: str, late_ms: float
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             viewer, other = await world.viewer(), await world.viewer()
             other.send(start_line(name(8)))
             assert await other.answer(name(8))
-            out = holds(box, name(1))
+            out = accept_silently(server, name(1))
             viewer.send(start_line(name(1), klass, opts={"left": "60"}))
-            await box.until(lambda: bool(out))
+            await server.until(lambda: bool(out))
             [(_, body, writer)] = out
             core = world.director.core
             number = core._by_tag[name(1)].number
@@ -115,25 +116,25 @@
             def meanwhile() -> None:
                 for what in order:
                     if what == "answer":
-                        put(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
+                        write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
                     elif what == "take-back":
                         push(viewer, finish_line(name(1)))
-                    else:  # the loop stands still past the viewer's time
+                    else:  # the loop is blocked past the viewer's time limit
                         due = core.attempts.timeout_at(number) - world.director.timeline.now()
                         time.sleep((due + late_ms) / 1000)
 
             done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
             assert await other.answer(name(9)) and done.is_set()
-            await settled(world)
-            said = [m for m in await told(viewer, 99) if m["tag"] == name(1)]
+            await wait_until_idle(world)
+            said = [m for m in await messages_received(viewer, 99) if m["tag"] == name(1)]
             ends = [m["verb"] for m in said if m["verb"] != "FINISHED"]
             assert len(ends) <= 1 and sent(world, 1) == 1
-            if "take-back" not in order:  # the answer came during the stall: it was in time
-                assert ends == ["STARTED"] and "TEARDOWN" not in box.methods(name(1))
+            if "take-back" not in order:  # the answer arrived during the stall, so in time
+                assert ends == ["STARTED"] and "TEARDOWN" not in server.methods(name(1))
             else:
                 assert [m["verb"] for m in said].count("FINISHED") == 1
-                await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+                await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
                 assert name(1) not in world.director.core._by_tag
 
     play(test)
@@ -144,7 +145,7 @@
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
             asked, back = range(1, 51), {1, 17, 50}
-            starts = b"".join(start_line(name(k), "paid", opts=HELD) for k in asked)
+            starts = b"".join(start_line(name(k), "paid", opts=LONG_TIME) for k in asked)
             push(viewer, starts + b"".join(finish_line(name(k)) for k in sorted(back)))
             ends: dict[str, list[str]] = {name(k): [] for k in asked}
             while sum(map(len, ends.values())) < len(asked):
@@ -153,7 +154,7 @@
                 ends[message["tag"]].append(message["verb"])
             assert all(ends[name(k)] == (["FINISHED"] if k in back else ["STARTED"]) for k in asked)
             assert [sent(world, k) for k in asked] == [0 if k in back else 1 for k in asked]
-            assert not await told(viewer, 99)
+            assert not await messages_received(viewer, 99)
 
     play(test)
 
@@ -162,25 +163,25 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             viewer = await world.viewer()
-            out = holds(box, name(1))
+            out = accept_silently(server, name(1))
             take = world.director.core.take_setup
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
-                # it is in the machine's buffers as the set-up is written
+                # it is in the kernel's buffers when the set-up is written
                 push(viewer, finish_line(name(1)))
                 return take(now, number, node, conn)
 
             world.director.core.take_setup = taken  # type: ignore[method-assign]
-            viewer.send(start_line(name(1), "paid", opts=HELD))
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            viewer.send(start_line(name(1), "paid", opts=LONG_TIME))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             [(_, body, writer)] = out
-            put(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
+            write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
             world.director.core.take_setup = take  # type: ignore[method-assign]
             await serve_another(world, 2)
-            assert [m["verb"] for m in await told(viewer, 99)] == ["FINISHED"]
+            assert [m["verb"] for m in await messages_received(viewer, 99)] == ["FINISHED"]
             assert world.director.core.counts["answer that belongs to nothing"] == 1
 
     play(test)
@@ -191,33 +192,33 @@
     tmp_path: Path, confirms: bool
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             viewer = await world.viewer()
-            out = holds(box, name(1))
-            viewer.send(start_line(name(1), opts=HELD))
-            await box.until(lambda: len(out) == 1)
+            out = accept_silently(server, name(1))
+            viewer.send(start_line(name(1), opts=LONG_TIME))
+            await server.until(lambda: len(out) == 1)
             viewer.send(finish_line(name(1)))
-            viewer.send(start_line(name(1), opts=HELD, blob="another"))
-            await box.until(lambda: len(out) == 2)
+            viewer.send(start_line(name(1), opts=LONG_TIME, blob="another"))
+            await server.until(lambda: len(out) == 2)
             (_, old, writer), (_, new, again) = out
-            assert writer is again  # the same connection: nothing but the order tells the two apart
-            put(writer, rtsp_answer(200, name(1), b"box\r\n" + old))
+            assert writer is again  # the same connection: only the order distinguishes the two
+            write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + old))
             if confirms:
-                put(writer, rtsp_answer(200, name(1), cseq=2))
-            put(writer, rtsp_answer(200, name(1), b"box\r\n" + new))
+                write_now(writer, rtsp_answer(200, name(1), cseq=2))
+            write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + new))
             if confirms:
                 answer = await viewer.answer(name(1))
                 assert answer is not None and answer["blob"] == "box\r\nanother"
             else:
                 while world.director.core.counts["answer that belongs to nothing"] < 2:
                     await asyncio.sleep(0)
-                assert [m["verb"] for m in await told(viewer, 99)] == ["FINISHED"]
+                assert [m["verb"] for m in await messages_received(viewer, 99)] == ["FINISHED"]
 
     play(test)
 
 
-# ---- Waiting in the module --------------------------------------------------------------------------------
+# ---- Held by the module -----------------------------------------------------------------------------------
 @left_by
 def test_a_client_leaves_while_the_module_holds_its_request(tmp_path: Path, leave: str) -> None:
     seats = settings()["categories"]
@@ -225,21 +226,21 @@
         entry["aim_ms"] = entry["deadline_ms"] = 60_000.0
 
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, categories=seats) as world:
+        async with scene(tmp_path, servers=1, categories=seats) as world:
             core, other = world.director.core, await world.viewer()
             other.send(start_line(name(8)))
             assert await other.answer(name(8))
             place = core.module._place
-            core.module._place = lambda session: False  # type: ignore[method-assign]  # no room anywhere
+            core.module._place = lambda session: False  # type: ignore[method-assign]  # no server has room
             viewer = Leaver(world)
-            viewer.send(start_line(name(1), "paid", opts=HELD))
+            viewer.send(start_line(name(1), "paid", opts=LONG_TIME))
             while not core.module.held:
                 await asyncio.sleep(0)
-            core.module._place = place  # type: ignore[method-assign]  # room comes as the viewer leaves
+            core.module._place = place  # type: ignore[method-assign]  # there is room as the viewer leaves
 
             def meanwhile() -> None:
                 viewer.leave(leave)
-                time.sleep(0.06)  # the loop stands still past the next look at what is held
+                time.sleep(0.06)  # the loop is blocked past the module's next check of held requests
 
             done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
@@ -257,13 +258,13 @@
     tmp_path: Path, how: str, klass: str
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             viewer = await world.viewer()
             await idle_connection(world, viewer, 10)
-            [writer] = box.writers
+            [writer] = server.writers
 
-            def meanwhile() -> None:  # the box closes it as the set-up is read
+            def meanwhile() -> None:  # the server closes it as the set-up is read
                 if how == "reset":
                     reset(writer)
                     return
@@ -271,10 +272,10 @@
                     far.shutdown(socket.SHUT_WR)
 
             done = stall_loop(world, meanwhile)
-            viewer.send(start_line(name(1), klass, opts=HELD))
+            viewer.send(start_line(name(1), klass, opts=LONG_TIME))
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["verb"] == "STARTED" and done.is_set()
-            assert sent(world, 1) == 1 and len(box.writers) == 2
+            assert sent(world, 1) == 1 and len(server.writers) == 2
 
     play(test)
 
@@ -288,7 +289,7 @@
         async with scene(tmp_path) as world:
             viewer = await world.viewer()
             await idle_connection(world, viewer, 10)
-            writers = [box.writers[0] for box in world.boxes]
+            writers = [server.writers[0] for server in world.servers]
             closed: list[int] = []
 
             def behave(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
@@ -301,18 +302,18 @@
                     writer.close()
                 return True
 
-            for box in world.boxes:
-                box.behave = behave
+            for server in world.servers:
+                server.behave = behave
             take = world.director.core.take_setup
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
                 if how == "not read, reset" and not closed:
                     closed.append(1)
-                    reset(writers[node - 1])  # after the last look at the sockets, before the write
+                    reset(writers[node - 1])  # after the last pass over the sockets, before the write
                 return take(now, number, node, conn)
 
             world.director.core.take_setup = taken  # type: ignore[method-assign]
-            viewer.send(start_line(name(1), klass, opts=HELD))
+            viewer.send(start_line(name(1), klass, opts=LONG_TIME))
             answer = await viewer.answer(name(1))
             assert answer is not None and closed
             arrived = sent(world, 1)
@@ -323,7 +324,7 @@
                 assert answer["verb"] == "STARTED"
                 assert arrived == (1 if how == "not read, reset" else 2)
             assert world.director.core.counts["attempts"] - len(world.director.core.sessions) <= 2
-            assert not await told(viewer, 99)
+            assert not await messages_received(viewer, 99)
 
     play(test)
 
@@ -344,26 +345,28 @@
                 out.append((tag, body, writer))
                 return len(out) == 1 and tag == name(1)
 
-            for box in world.boxes:
-                box.behave = behave
-            viewer.send(start_line(name(1), opts=HELD))
+            for server in world.servers:
+                server.behave = behave
+            viewer.send(start_line(name(1), opts=LONG_TIME))
             while not out:
                 await asyncio.sleep(0)
             _, body, writer = out[0]
             good = rtsp_answer(FIRST[first], name(1), b"box\r\n" + body if first == "served" else b"")
             more = rtsp_answer(200, name(1), b"another\r\n")
-            put(writer, good if apart else good + more)
+            write_now(writer, good if apart else good + more)
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["verb"] == "STARTED"
-            assert answer["blob"] == f"box\r\n{body.decode()}"  # of the first answer, or of the other box
+            assert answer["blob"] == f"box\r\n{body.decode()}"  # of the first answer, or of the other server
             if apart:
-                put(writer, more)
+                write_now(writer, more)
             while not world.director.core.counts["answer that belongs to nothing"]:
                 await asyncio.sleep(0)
-            viewer.send(start_line(name(2), opts=HELD))
+            viewer.send(start_line(name(2), opts=LONG_TIME))
             answer = await viewer.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED"
-            assert not await told(viewer, 99) and sent(world, 1) == (1 if first == "served" else 2)
+            assert not await messages_received(viewer, 99) and sent(world, 1) == (
+                1 if first == "served" else 2
+            )
 
     play(test)
 
@@ -378,18 +381,18 @@
                 out.append((tag, body, writer))
                 return True
 
-            for box in world.boxes:
-                box.behave = behave
-            viewer.send(start_line(name(1), opts=HELD))
-            while len(out) < 2:  # the first box was too slow for a class that may be repeated
+            for server in world.servers:
+                server.behave = behave
+            viewer.send(start_line(name(1), opts=LONG_TIME))
+            while len(out) < 2:  # the first server was too slow, and the class may be repeated
                 await asyncio.sleep(0)
             (_, body, slow), (_, _, other) = out
-            first = next(box for box in world.boxes if slow in box.writers)
+            first = next(server for server in world.servers if slow in server.writers)
             await first.until(lambda: "TEARDOWN" in first.methods(name(1)))
-            put(slow, rtsp_answer(200, name(1), b"too late\r\n"))
+            write_now(slow, rtsp_answer(200, name(1), b"too late\r\n"))
             while not world.director.core.counts["answer that belongs to nothing"]:
                 await asyncio.sleep(0)
-            put(other, rtsp_answer(200, name(1), b"box\r\n" + body))
+            write_now(other, rtsp_answer(200, name(1), b"box\r\n" + body))
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["blob"] == f"box\r\n{body.decode()}"
 
@@ -398,15 +401,15 @@
 
 def test_a_release_after_the_answer_in_one_read_ends_the_new_session(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             viewer = await world.viewer()
-            out = holds(box, name(1))
-            viewer.send(start_line(name(1), opts=HELD))
-            await box.until(lambda: bool(out))
+            out = accept_silently(server, name(1))
+            viewer.send(start_line(name(1), opts=LONG_TIME))
+            await server.until(lambda: bool(out))
             [(_, body, writer)] = out
             over = rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n")
-            put(writer, rtsp_answer(200, name(1), b"box\r\n" + body) + over)
+            write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + body) + over)
             first, second = await viewer.read(), await viewer.read()
             assert first and second and [first["verb"], second["verb"]] == ["STARTED", "FINISH"]
             assert not world.director.core.sessions
@@ -417,7 +420,7 @@
 # ---- The tick ---------------------------------------------------------------------------------------------
 def test_an_exception_in_the_tick_does_not_prevent_a_stop(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
+        async with scene(tmp_path, servers=1) as world:
             director, faults = world.director, 0
             asyncio.get_running_loop().set_exception_handler(
                 lambda _, context: director.handle_exception(context)
@@ -447,43 +450,43 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
-            out = holds(box, name(1), name(2))
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
+            out = accept_silently(server, name(1), name(2))
             bad, good = await world.viewer(), await world.viewer()
-            bad.send(start_line(name(1), "paid", opts=HELD) + start_line(name(3))[:40])
-            good.send(start_line(name(2), "paid", opts=HELD))
-            await box.until(lambda: len(out) == 2)
-            assert await bad.read() is None  # closed: its request is taken back at the box
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            bad.send(start_line(name(1), "paid", opts=LONG_TIME) + start_line(name(3))[:40])
+            good.send(start_line(name(2), "paid", opts=LONG_TIME))
+            await server.until(lambda: len(out) == 2)
+            assert await bad.read() is None  # closed: its request is cancelled at the server
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             for tag, body, writer in out:
-                put(writer, rtsp_answer(200, tag, b"box\r\n" + body))
+                write_now(writer, rtsp_answer(200, tag, b"box\r\n" + body))
             answer = await good.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED" and len(client_connections(world)) == 1
 
     play(test)
 
 
-# ---- Time that is up ---------------------------------------------------------------------------------------
+# ---- Time limits -------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("klass", ["paid", "free"])
 def test_a_set_up_is_not_sent_after_its_time_limit_though_its_connection_opened_before(
     tmp_path: Path, klass: str
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
             director, opened = world.director, asyncio.Event()
-            connect, up = director.servers._connect, director.servers.connection_opened
+            connect, original = director.servers._connect, director.servers.connection_opened
 
             async def late(node: int, conn: int, address: Any) -> None:
                 await opened.wait()
                 await connect(node, conn, address)
 
-            def stands_then(connection: Any) -> None:
-                time.sleep(0.15)  # the loop stands still past the viewer's time as the connection comes up
-                up(connection)
+            def open_after_stall(connection: Any) -> None:
+                time.sleep(0.15)  # the loop is blocked past the viewer's time limit as the connection opens
+                original(connection)
 
             director.servers._connect = late  # type: ignore[method-assign]
-            director.servers.connection_opened = stands_then  # type: ignore[method-assign]
+            director.servers.connection_opened = open_after_stall  # type: ignore[method-assign]
             viewer = await world.viewer()
             viewer.send(start_line(name(1), klass, opts={"left": "100"}))
             while not director.servers.opening:
@@ -491,7 +494,7 @@
             opened.set()
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 34)
-            director.servers.connection_opened = up  # type: ignore[method-assign]
+            director.servers.connection_opened = original  # type: ignore[method-assign]
             await serve_another(world, 2)
             assert sent(world, 1) == 0
 
@@ -499,15 +502,15 @@
 
 
 def test_set_ups_are_not_buffered_behind_bytes_that_a_server_does_not_read(tmp_path: Path) -> None:
-    """They would leave long after their viewers: nothing tells when a box reads again."""
+    """They would be sent long after their viewers left, as the server may read again at any time."""
 
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__max_streams=1000) as world:
-            director, [box] = world.director, world.boxes
+        async with scene(tmp_path, servers=1, limits__max_streams=1000) as world:
+            director, [server] = world.director, world.servers
             director.servers.pools[1].max_connections = 1
             viewer = await world.viewer()
             await idle_connection(world, viewer, 10)
-            [writer] = box.writers
+            [writer] = server.writers
             [connection] = director.servers.connections.values()
             assert connection.transport is not None
             for transport in (writer.transport, connection.transport):
@@ -519,15 +522,15 @@
                 connection.send(b"x" * 4096)
                 await asyncio.sleep(0)
             before = connection.transport.get_write_buffer_size()
-            viewer.send(start_line(name(1), "paid", opts=HELD))
+            viewer.send(start_line(name(1), "paid", opts=LONG_TIME))
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 34)
-            assert connection.transport.get_write_buffer_size() <= before  # the machine may have taken some
+            assert connection.transport.get_write_buffer_size() <= before  # the kernel may have accepted some
 
     play(test)
 
 
-# ---- Bad input at bad times ------------------------------------------------------------------------------
+# ---- Invalid input ----------------------------------------------------------------------------------------
 BAD = [b"\xff\x00\n", b"x" * 70_000, b"[" * 15_000 + b"\n", b"GET / HTTP/1.1\r\n\r\n", b'{"verb":"START"}\n']
 
 
@@ -536,40 +539,40 @@
     async def test() -> None:
         async with scene(tmp_path) as world:
             director = world.director
-            await world.feed.connected.wait()
+            await world.coordinator.connected.wait()
             good = await world.viewer()
-            out = [holds(box, name(1), name(2)) for box in world.boxes]
+            out = [accept_silently(server, name(1), name(2)) for server in world.servers]
             for k in (1, 2):
-                good.send(start_line(name(k), "paid", opts=HELD))
+                good.send(start_line(name(k), "paid", opts=LONG_TIME))
                 while sum(map(len, out)) < k:
                     await asyncio.sleep(0)
             if when == "in a stop":
                 director.stop()
             else:
-                world.feed.stop()
+                world.coordinator.stop()
             bad = [await world.viewer() for _ in BAD]
             for viewer, data in zip(bad, BAD, strict=True):
                 viewer.send(data)
             gives_up, again = await world.viewer(), await world.viewer()
             gives_up.send(b"".join(start_line(name(k)) + finish_line(name(k)) for k in range(100, 300)))
             senseless = start_line(name(5), opts={"class": "none"})
-            for _ in range(admission.MAX_PROTOCOL_ERRORS - 1):  # the same again the moment it is turned away
+            for _ in range(admission.MAX_PROTOCOL_ERRORS - 1):  # repeated as soon as it is rejected
                 again.send(senseless)
                 answer = await again.answer(name(5))
                 assert answer is not None and answer["verb"] == "FINISH"
-            again.send(senseless)  # once too often
+            again.send(senseless)  # the one too many
             assert await again.answer(name(6)) is None
             for viewer in bad:
                 assert await viewer.read() is None
-            # one of the two answers is spoilt: it costs its own session
+            # one of the two answers is corrupt: only its own session fails
             [(first, _, spoilt), (second, body, writer)] = [setup for each in out for setup in each]
-            put(spoilt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
+            write_now(spoilt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
             answer = await good.answer(first)
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
-            put(writer, rtsp_answer(200, second, b"box\r\n" + body))
+            write_now(writer, rtsp_answer(200, second, b"box\r\n" + body))
             answer = await good.answer(second)
             assert answer is not None and answer["blob"] == f"box\r\n{body.decode()}"
-            assert [m for m in await told(good, 99) if m["tag"] in (first, second)] == []
+            assert [m for m in await messages_received(good, 99) if m["tag"] in (first, second)] == []
             gives_up.writer.transport.abort()
             if when == "in a stop":
                 await director.ended
@@ -580,7 +583,7 @@
 # ---- As a process ------------------------------------------------------------------------------------------
 def test_a_closed_reader_of_the_log_does_not_disturb_service(tmp_path: Path) -> None:
     async def test() -> None:
-        box, feed = await StandInBox().start(), await StandInCoordinator().start()
+        server, coordinator = await StandInBox().start(), await StandInCoordinator().start()
         address = free_address()
         used: list[asyncio.StreamWriter] = []
 
@@ -588,8 +591,8 @@
             used.append(writer)
             return False
 
-        box.behave = behave
-        director = process(tmp_path, config([member(1, box.address)], feed.address, listen=address))
+        server.behave = behave
+        director = process(tmp_path, config([member(1, server.address)], coordinator.address, listen=address))
         try:
             assert director.stderr is not None
             loop = asyncio.get_running_loop()
@@ -597,11 +600,11 @@
             director.stderr.close()
             viewer = await Viewer.connect(address)
             for k in range(1, 4):
-                viewer.send(start_line(name(k), opts=HELD))
+                viewer.send(start_line(name(k), opts=LONG_TIME))
                 answer = await viewer.answer(name(k))
                 assert answer is not None and answer["verb"] == "STARTED"
-                put(used[-1], b"noise\r\n\r\n")  # a line for the log, from inside a read
-                while box.ended < k:  # the connection is given up for it
+                write_now(used[-1], b"noise\r\n\r\n")  # logs a line from inside a read
+                while server.ended < k:  # the connection is closed for it
                     await asyncio.sleep(0)
                 (tmp_path / "config.json").write_bytes(b"{half")
                 director.send_signal(signal.SIGHUP)
@@ -609,7 +612,7 @@
             assert await loop.run_in_executor(None, director.wait) == 0
         finally:
             director.kill()
-        feed.stop()
-        await box.stop()
+        coordinator.stop()
+        await server.stop()
 
     play(test)
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -54,14 +54,14 @@
 
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
+            await world.coordinator.connected.wait()
             while world.director.discovery.connection is None:
                 await asyncio.sleep(0)
             assert given_up and given_up[0] is not world.director.discovery.connection
-            await world.feed.until(lambda: world.feed.ended == 1)
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1))
+            await world.coordinator.until(lambda: world.coordinator.ended == 1)
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=1))
             await numbered(world.director, 2)
-            assert world.feed.asked == [1]
+            assert world.coordinator.asked == [1]
 
     play(test)
 
@@ -69,9 +69,9 @@
 def test_a_reload_during_the_start_leaves_one_working_watch(tmp_path: Path) -> None:
     async def test() -> None:
         feeds = [await StandInCoordinator().start() for _ in range(2)]
-        box = await StandInBox().start()
+        server = await StandInBox().start()
         file = tmp_path / "config.json"
-        file.write_bytes(config([member(1, box.address)], feeds[0].address, free_address()))
+        file.write_bytes(config([member(1, server.address)], feeds[0].address, free_address()))
         loop = asyncio.get_running_loop()
         director = PlatformDirector(read(file.read_bytes()), str(file), loop)
         raw = json.loads(file.read_bytes())
@@ -81,13 +81,13 @@
         await feeds[1].connected.wait()
         while director.discovery.connection is None:
             await asyncio.sleep(0)
-        feeds[1].tell(2, 2, record(1, box.address, state=1))
+        feeds[1].tell(2, 2, record(1, server.address, state=1))
         await numbered(director, 2)
         assert feeds[1].asked == [1] and not feeds[0].asked and director.discovery.watch.reconnects == 1
         await director.close()
         for each in feeds:
             each.stop()
-        await box.stop()
+        await server.stop()
 
     play(test)
 
@@ -95,23 +95,23 @@
 def test_frames_of_the_former_coordinator_after_the_first_of_the_new_one_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
+            await world.coordinator.connected.wait()
             later = await StandInCoordinator().start()
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1))
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=1))
             await numbered(world.director, 2)
-            later.frames.append((3, 2, record(1, world.boxes[0].address, state=0)))
+            later.frames.append((3, 2, record(1, world.servers[0].address, state=0)))
             reload_to(world, later.address)
             # what it writes from here on is sent after the reload
-            world.feed.tell(3, 2, record(2, world.boxes[1].address, state=2))
-            world.feed.tell(4, 2, record(1, world.boxes[0].address, state=2))
+            world.coordinator.tell(3, 2, record(2, world.servers[1].address, state=2))
+            world.coordinator.tell(4, 2, record(1, world.servers[0].address, state=2))
             await later.connected.wait()
             assert later.asked == [2]
             await numbered(world.director, 3)
-            later.tell(4, 2, record(2, world.boxes[1].address, state=1))
+            later.tell(4, 2, record(2, world.servers[1].address, state=1))
             await numbered(world.director, 4)
-            boxes = world.director.core._servers
-            assert [boxes[k].status for k in (1, 2)] == [fl.Status.READY, fl.Status.DRAINING]
-            assert world.feed.asked == [1]
+            servers = world.director.core._servers
+            assert [servers[k].status for k in (1, 2)] == [fl.Status.READY, fl.Status.DRAINING]
+            assert world.coordinator.asked == [1]
             later.stop()
 
     play(test)
@@ -121,12 +121,12 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=4, invariants__ramp_time_ms=600_000.0) as world:
-            director, addresses = world.director, [box.address for box in world.boxes]
-            await world.feed.connected.wait()
+        async with scene(tmp_path, servers=4, invariants__ramp_time_ms=600_000.0) as world:
+            director, addresses = world.director, [server.address for server in world.servers]
+            await world.coordinator.connected.wait()
             cold_since = int(director.timeline.now())
-            world.feed.tell(2, 2, record(1, addresses[0], started=cold_since))
-            world.feed.tell(3, 2, record(2, addresses[1], state=1, cell=1))
+            world.coordinator.tell(2, 2, record(1, addresses[0], started=cold_since))
+            world.coordinator.tell(3, 2, record(2, addresses[1], state=1, cell=1))
             await numbered(director, 3)
             # permanent gaps: the full list is requested, and its number is the current one
             whole = [
@@ -137,12 +137,12 @@
             ]
             nodes = director.core.module.nodes
             before = {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes}
-            world.feed.frames = [(3, 1, b"".join(whole))]
+            world.coordinator.frames = [(3, 1, b"".join(whole))]
             for asks in range(1, discovery_watch.MAX_MISREADS + 1):
-                world.feed.writers[-1].write(frame(9, 2, record(3, addresses[2], state=2, cell=2)))
-                while len(world.feed.asked) <= asks:
+                world.coordinator.writers[-1].write(frame(9, 2, record(3, addresses[2], state=2, cell=2)))
+                while len(world.coordinator.asked) <= asks:
                     await asyncio.sleep(0)
-            assert world.feed.asked[-1] == 0
+            assert world.coordinator.asked[-1] == 0
             while director.discovery.watch._misreads:
                 await asyncio.sleep(0)
             assert {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes} == before
@@ -151,7 +151,7 @@
             for k in range(1, 9):
                 viewer.send(start_line(name(k), title=name(k)))
                 assert await viewer.answer(name(k))
-            assert not [m for m, _, _ in world.boxes[1].got if m == "SETUP"]
+            assert not [m for m, _, _ in world.servers[1].got if m == "SETUP"]
 
     play(test)
 
@@ -161,8 +161,8 @@
 ) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            director, addresses = world.director, [box.address for box in world.boxes]
-            await world.feed.connected.wait()
+            director, addresses = world.director, [server.address for server in world.servers]
+            await world.coordinator.connected.wait()
             take = director.core.take_setup
             told: list[int] = []
 
@@ -181,7 +181,7 @@
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["verb"] == "STARTED" and told
-            gone = world.boxes[told[0] - 1]
+            gone = world.servers[told[0] - 1]
             assert not gone.methods(name(1)) and told[0] not in director.core.module.nodes
 
     play(test)
