--- a/foxlift/platform/core.py
+++ b/foxlift/platform/core.py
@@ -102,16 +102,14 @@
         self._open_by_conn: dict[int, set[int]] = {}  # by viewer's connection: open set-ups
         self.viewer_releases = ViewerReleases()
         self.session_endings = SessionEndings()
-        self._handovers: dict[
-            str, tuple[int, viewers.Start]
-        ] = {}  # by tag: sessions whose server is not listed yet
+        # by tag: handed-over sessions whose server is not listed yet
+        self._handovers: dict[str, tuple[int, viewers.Start]] = {}
         self._servers: dict[int, fl.NodeInfo] = {}
         self._addresses: dict[int, Address] = {}  # of listed servers and of others with playing sessions
         self._node_at: dict[Address, int] = {}  # inverse of `_addresses`
         self._playing: dict[int, set[int]] = {}  # by server: playing sessions
-        self._in_flight_on: dict[
-            tuple[int, int], set[int]
-        ] = {}  # by server and connection: unanswered set-ups
+        # by server and connection: unanswered set-ups
+        self._in_flight_on: dict[tuple[int, int], set[int]] = {}
         self._last_number = 0
         self._now = 0.0
         self._actions: list[ev.Action] = []
--- a/foxlift/platform/eviction.py
+++ b/foxlift/platform/eviction.py
@@ -36,11 +36,11 @@
     """
     idle: list[tuple[bool, float, ConnectionKey]] = []
     for node, server in servers.items():
-        listened = server.latest_up if server.sessions else None
+        listening = server.latest_up if server.sessions else None
         for conn, connection in server.connections.items():
             if not connection.up or connection.in_flight or server.waiting:
                 continue
-            is_listening = conn == listened
+            is_listening = conn == listening
             if is_listening and now - connection.opened_at < min_listening_ms:
                 continue
             age = connection.opened_at if is_listening else connection.last_used_at
--- a/foxlift/platform/server_connections.py
+++ b/foxlift/platform/server_connections.py
@@ -200,7 +200,7 @@
         taken_by_clients = max(self._director.client_connections - self._shares.clients, 0)
         if len(self.connections) + len(self.opening) < self._shares.servers - taken_by_clients:
             return True
-        retired = next((at for at in self.connections.values() if at.retired), None)
+        retired = next((connection for connection in self.connections.values() if connection.retired), None)
         if retired is not None:
             self._close(retired.node, retired.number)
             return True
@@ -241,7 +241,7 @@
         connection = self.connections.get((node, conn))
         if connection is None or connection.transport is None or connection.transport.is_closing():
             if connection is not None:
-                # known to be closed: prevents that other set-ups are assigned to it
+                # the connection is known to be closed: assign no other set-up to it
                 self.connection_dropped(connection, corrupt=False)
             if node not in self.pools:
                 self._director.notify_core(ev.SetupNotSent(key, node))
--- a/foxlift/platform/server_pool.py
+++ b/foxlift/platform/server_pool.py
@@ -268,8 +268,8 @@
     @property
     def latest_up(self) -> int | None:
         """The open connection on which a message was received last."""
-        ups = [(c.last_received_at, name) for name, c in self.connections.items() if c.up]
-        return max(ups)[1] if ups else None
+        open_connections = [(c.last_received_at, number) for number, c in self.connections.items() if c.up]
+        return max(open_connections)[1] if open_connections else None
 
     @property
     def in_flight(self) -> int:
@@ -289,7 +289,7 @@
 
     def _queue_setup(self, now: float, key: int) -> list[Action]:
         best: int | None = None
-        for name, conn in self.connections.items():
+        for number, conn in self.connections.items():
             # one with an unanswered ping may be dead; the server may be closing one that is long idle
             if (
                 conn.up
@@ -299,17 +299,21 @@
                 and now - conn.last_used_at < self.idle_ms * MAX_IDLE_RATIO
             ):
                 best = (
-                    name
+                    number
                     if best is None or conn.last_received_at >= self.connections[best].last_received_at
                     else best
                 )
         if best is None and len(self.connections) >= self.max_connections:
-            ups = [
-                (c.in_flight, name)
-                for name, c in self.connections.items()
+            open_connections = [
+                (c.in_flight, number)
+                for number, c in self.connections.items()
                 if c.up and not c.pinged_at and not c.outdated
             ]
-            best = min(ups)[1] if ups and min(ups)[0] < self.max_streams else None
+            best = (
+                min(open_connections)[1]
+                if open_connections and min(open_connections)[0] < self.max_streams
+                else None
+            )
         if best is not None:
             return [self._assign(now, best, key)]
         self.waiting.append((key, now))
@@ -318,16 +322,16 @@
             return [self._open(now)]
         return []
 
-    def _assign(self, now: float, name: int, key: int) -> UseConnection:
-        conn = self.connections[name]
+    def _assign(self, now: float, number: int, key: int) -> UseConnection:
+        conn = self.connections[number]
         conn.in_flight += 1
         conn.last_used_at = now
-        return UseConnection(name, key)
+        return UseConnection(number, key)
 
-    def _opened(self, now: float, name: int) -> list[Action]:
-        conn = self.connections.get(name)
+    def _opened(self, now: float, number: int) -> list[Action]:
+        conn = self.connections.get(number)
         if conn is None:
-            return [CloseConnection(name)]
+            return [CloseConnection(number)]
         conn.up, conn.last_received_at, conn.last_used_at = True, now, now
         self.connect_requested = False
         lost: list[Action] = []
@@ -336,16 +340,16 @@
             self.last_received_at = now
             lost.append(SessionsLost(SILENT))
         if self.waiting:
-            return [*lost, self._assign(now, name, self.waiting.popleft()[0])]
-        return lost + self._ping(now, name, conn) if self.sessions else []
+            return [*lost, self._assign(now, number, self.waiting.popleft()[0])]
+        return lost + self._ping(now, number, conn) if self.sessions else []
 
-    def _ping(self, now: float, name: int, conn: _Connection) -> list[Action]:
+    def _ping(self, now: float, number: int, conn: _Connection) -> list[Action]:
         conn.pinged_at = now
-        return [PingConnection(name)]
+        return [PingConnection(number)]
 
-    def _data_received(self, now: float, name: int) -> list[Action]:
+    def _data_received(self, now: float, number: int) -> list[Action]:
         self.last_received_at = now
-        conn = self.connections.get(name)
+        conn = self.connections.get(number)
         if conn is None:
             return []
         conn.last_received_at, ping_sent_at, conn.pinged_at = now, conn.pinged_at, 0.0
@@ -354,10 +358,10 @@
         # set-ups queued since the ping wait for this connection if no other could be opened
         opening = sum(1 for c in self.connections.values() if not c.up)
         room = min(len(self.waiting) - opening, self.max_streams - conn.in_flight)
-        return [self._assign(now, name, self.waiting.popleft()[0]) for _ in range(room)]
+        return [self._assign(now, number, self.waiting.popleft()[0]) for _ in range(room)]
 
-    def _slot_released(self, now: float, name: int) -> list[Action]:
-        conn = self.connections.get(name)
+    def _slot_released(self, now: float, number: int) -> list[Action]:
+        conn = self.connections.get(number)
         if conn is None:
             return []
         conn.in_flight = max(conn.in_flight - 1, 0)
@@ -367,11 +371,11 @@
             and not (conn.pinged_at or conn.outdated)
             and conn.in_flight < self.max_streams
         ):
-            return [self._assign(now, name, self.waiting.popleft()[0])]
+            return [self._assign(now, number, self.waiting.popleft()[0])]
         return []
 
-    def _connection_lost(self, now: float, name: int, refused: bool) -> list[Action]:
-        conn = self.connections.pop(name, None)
+    def _connection_lost(self, now: float, number: int, refused: bool) -> list[Action]:
+        conn = self.connections.pop(number, None)
         if conn is None:
             return []
         actions: list[Action] = []
@@ -397,9 +401,9 @@
         self.is_removed = True
         actions: list[Action] = [DiscardUnsent()] if self.connect_requested else []
         self.connect_requested = False
-        for name in [name for name, conn in self.connections.items() if not conn.up]:
-            del self.connections[name]
-            actions.append(CloseConnection(name))
+        for number in [number for number, conn in self.connections.items() if not conn.up]:
+            del self.connections[number]
+            actions.append(CloseConnection(number))
         actions += [SetupUnreachable(key) for key, _ in self.waiting]
         self.waiting.clear()
         return actions
@@ -408,55 +412,54 @@
         self.is_removed = False
         actions: list[Action] = []
         if moved:
-            for name, conn in list(self.connections.items()):
+            for number, conn in list(self.connections.items()):
                 if conn.in_flight:
                     conn.outdated = True
                 else:
-                    del self.connections[name]
-                    actions.append(RetireConnection(name) if conn.up else CloseConnection(name))
+                    del self.connections[number]
+                    actions.append(RetireConnection(number) if conn.up else CloseConnection(number))
             if not any(not conn.outdated for conn in self.connections.values()) and (
                 self.waiting or self.sessions
             ):
                 actions.append(self._open(now))
         return actions
 
-    def _yielded(self, now: float, name: int) -> list[Action]:
-        if self.connections.pop(name, None) is None:
+    def _yielded(self, now: float, number: int) -> list[Action]:
+        if self.connections.pop(number, None) is None:
             return []
         self.last_open_at = now  # not opened again at once: another server uses the descriptor for now
-        return [CloseConnection(name)]
+        return [CloseConnection(number)]
 
     def _sessions_changed(self, now: float, count: int) -> list[Action]:
-        first = count and not self.sessions
+        is_first = count and not self.sessions
         self.sessions = count
-        if first:
+        if is_first:
             # the silence starts now: no message was expected before
             self.last_received_at = now
-        return [self._open(now)] if first and not self.connections else []
+        return [self._open(now)] if is_first and not self.connections else []
 
     def _tick(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        listened = (
-            self.latest_up if self.sessions else None
-        )  # one connection is enough to receive messages about sessions
-        for name, conn in list(self.connections.items()):
+        # one connection is enough to receive messages about sessions
+        listening = self.latest_up if self.sessions else None
+        for number, conn in list(self.connections.items()):
             if not conn.up:
                 if now - conn.opened_at >= self.connect_ms:
-                    actions += [CloseConnection(name), *self._connection_lost(now, name, False)]
+                    actions += [CloseConnection(number), *self._connection_lost(now, number, False)]
                 continue
             if conn.pinged_at and now - conn.pinged_at >= PING_TIMEOUT_MS:
-                actions += [CloseConnection(name), *self._connection_lost(now, name, False)]
+                actions += [CloseConnection(number), *self._connection_lost(now, number, False)]
                 continue
             quiet = now - max(conn.last_received_at, conn.last_used_at) >= min(
                 PING_IDLE_MS, self.idle_ms * MAX_IDLE_RATIO
             )
-            needed = conn.in_flight or name == listened
+            needed = conn.in_flight or number == listening
             if quiet and needed and not conn.pinged_at:
-                actions += self._ping(now, name, conn)
+                actions += self._ping(now, number, conn)
             idle = conn.outdated or (not needed and now - conn.last_used_at >= self.idle_ms * MAX_IDLE_RATIO)
             if not conn.in_flight and idle:
-                del self.connections[name]
-                actions.append(RetireConnection(name))
+                del self.connections[number]
+                actions.append(RetireConnection(number))
         wait = REOPEN_INTERVAL_MS
         if self.waiting and not self.connections:  # the last one was retired for its age or address
             return [*actions, self._open(now)]
--- a/foxlift/platform/session_endings.py
+++ b/foxlift/platform/session_endings.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class _Sent:
-    since: float
+    sent_at: float
     data: bytes
     sends: int = 1
 
@@ -59,21 +59,19 @@
 
     resent: int = 0  # number of releases sent again, for the log
     _sent: dict[tuple[int, str], _Sent] = field(default_factory=dict)  # by server and tag, oldest first
-    _sent_to: dict[int, dict[str, None]] = field(
-        default_factory=dict
-    )  # the same tags by server, oldest first
+    # the same tags by server, oldest first
+    _sent_to: dict[int, dict[str, None]] = field(default_factory=dict)
     # abandoned set-ups by server, connection and tag: time of abandoning; oldest first
     _abandoned: dict[tuple[int, int, str], float] = field(default_factory=dict)
-    _ends: dict[str, tuple[float, EndSource, int, int]] = field(
-        default_factory=dict
-    )  # by tag: time, source, server, cause
+    # by tag: time, source, server, cause
+    _ends: dict[str, tuple[float, EndSource, int, int]] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._sent)
 
     def expire(self, now: float) -> None:
         """Drop entries past their retention time."""
-        while self._sent and now - next(iter(self._sent.values())).since > RELEASE_RETENTION_MS:
+        while self._sent and now - next(iter(self._sent.values())).sent_at > RELEASE_RETENTION_MS:
             self._forget(*next(iter(self._sent)))
         while self._ends and now - next(iter(self._ends.values()))[0] > END_RETENTION_MS:
             del self._ends[next(iter(self._ends))]
@@ -103,8 +101,8 @@
 
     def is_abandoned(self, now: float, node: int, conn: int, tag: str) -> bool:
         """Return whether an answer on the connection may belong to an abandoned set-up."""
-        since = self._abandoned.get((node, conn, tag))
-        return since is not None and now - since <= RELEASE_RETENTION_MS
+        abandoned_at = self._abandoned.get((node, conn, tag))
+        return abandoned_at is not None and now - abandoned_at <= RELEASE_RETENTION_MS
 
     def confirmed(self, node: int, conn: int, tag: str) -> None:
         """The server confirmed a release or an abandoned set-up; no answer to the latter can follow."""
@@ -113,16 +111,16 @@
 
     def connection_lost(self, now: float, node: int) -> list[bytes]:
         """A connection to the server closed: return the releases to send again, as any may have been lost."""
-        found: list[bytes] = []
+        resent: list[bytes] = []
         for tag in list(self._sent_to.get(node, ())):
-            release_sent = self._sent[node, tag]
-            if now - release_sent.since > RELEASE_RETENTION_MS or release_sent.sends >= MAX_SENDS:
+            sent = self._sent[node, tag]
+            if now - sent.sent_at > RELEASE_RETENTION_MS or sent.sends >= MAX_SENDS:
                 self._forget(node, tag)
                 continue
-            release_sent.sends += 1
-            found.append(release_sent.data)
-        self.resent += len(found)
-        return found
+            sent.sends += 1
+            resent.append(sent.data)
+        self.resent += len(resent)
+        return resent
 
     def server_removed(self, node: int) -> None:
         """The server no longer exists, nor do its sessions."""
--- a/foxlift/platform/stop.py
+++ b/foxlift/platform/stop.py
@@ -67,7 +67,7 @@
         self.state = State.SERVING
         self._stop_at = 0.0
         self._received = -1
-        self._quiet_checks = 0  # looks in a row with nothing new
+        self._quiet_checks = 0  # consecutive checks without new input
 
     def begin(self, now: float) -> bool:
         """Handle the stop signal. Return False if it was received before. `now` in ms."""
--- a/foxlift/platform/transport.py
+++ b/foxlift/platform/transport.py
@@ -72,8 +72,8 @@
         if self._server is not None:
             self._server.close()
         self.discovery.close()
-        for viewer in list(self._clients.values()):
-            viewer.abort()
+        for client in list(self._clients.values()):
+            client.abort()
         self.servers.close()
         await asyncio.sleep(0)
 
@@ -110,9 +110,9 @@
 
     def _pending_work(self) -> PendingWork:
         written = sum(
-            viewer.transport.get_write_buffer_size()
-            for viewer in self._clients.values()
-            if viewer.transport is not None
+            client.transport.get_write_buffer_size()
+            for client in self._clients.values()
+            if client.transport is not None
         )
         return PendingWork(self.core.unanswered, written + self.servers.unsent_size(), self._received)
 
@@ -121,9 +121,8 @@
         return self._lag.work_begins(self._loop.time() * 1000)
 
     def _tick(self) -> None:
-        self.timeline.later(
-            TICK_INTERVAL_MS, self._tick
-        )  # first, so that an exception below does not end the ticks
+        # first, so that an exception below does not end the ticks
+        self.timeline.later(TICK_INTERVAL_MS, self._tick)
         # not while serving, since a check sums the unsent bytes of all connections; in CHECKING, the check
         # schedules itself
         if self._stop.state not in (State.SERVING, State.CHECKING):
@@ -191,16 +190,16 @@
         self.lag()
         for action in self.core.handle(self.timeline.now(), event):
             self._carry_out(action)
-        for viewer in tuple(self.write_blocked):
-            viewer.update_reading()
+        for client in tuple(self.write_blocked):
+            client.update_reading()
         self._lag.work_ends(time.monotonic() * 1000)
 
     def _carry_out(self, action: ev.Action) -> None:
         match action:
             case ev.SendToViewer(conn, data):
-                viewer = self._clients.get(conn)
-                if viewer is not None:
-                    viewer.send(data)
+                client = self._clients.get(conn)
+                if client is not None:
+                    client.send(data)
             case ev.StartTimer(delay_ms, event):
                 self.timeline.later(delay_ms, lambda: self.after_reading(lambda: self.notify_core(event)))
             case ev.QueueSetup(number, node):
@@ -220,10 +219,10 @@
             case ev.RemoveServer(node):
                 self.servers.handle(node, server_pool.ServerRemoved())
             case ev.RecordProtocolError(conn):
-                viewer = self._clients.get(conn)
-                if self.admission.record_protocol_error(conn) and viewer is not None:
+                client = self._clients.get(conn)
+                if self.admission.record_protocol_error(conn) and client is not None:
                     self.count["viewer blamed"] += 1
-                    viewer.close()
+                    client.close()
             case ev.WriteLog(log_event, detail):
                 self.log.write(log_event, detail)
 
@@ -236,12 +235,12 @@
         """
         self._loop.call_soon(self._loop.call_soon, callback)
 
-    # ---- Viewers ------------------------------------------------------------------------------------------
-    def client_opened(self, viewer: ClientConnection) -> int:
+    # ---- Clients ------------------------------------------------------------------------------------------
+    def client_opened(self, client: ClientConnection) -> int:
         """Register an accepted connection and return its number."""
         self._received += 1
         self._last_client += 1
-        self._clients[self._last_client] = viewer
+        self._clients[self._last_client] = client
         evicted = self.admission.opened(self.timeline.now(), self._last_client)
         if evicted is not None:
             self._close_client(evicted)
@@ -299,14 +298,14 @@
 
     def client_socket(self, request: int) -> ClientSocket:
         """Return what is unread on the socket of a request's client."""
-        viewer = self._client_of(request)
-        return ClientSocket.NOTHING if viewer is None else viewer.socket_state()
+        client = self._client_of(request)
+        return ClientSocket.NOTHING if client is None else client.socket_state()
 
     def note_reset_client(self, request: int) -> None:
         """Notify the core if the request's client has reset its connection.
 
         The transport knows of the reset before the protocol's `connection_lost` is called.
         """
-        viewer = self._client_of(request)
-        if viewer is not None and viewer.is_closing:
-            self.client_left(viewer.number)
+        client = self._client_of(request)
+        if client is not None and client.is_closing:
+            self.client_left(client.number)
--- a/foxlift/platform/viewer_releases.py
+++ b/foxlift/platform/viewer_releases.py
@@ -40,9 +40,8 @@
 
     resent: int = 0  # number of releases written again because a connection closed
     expired: int = 0  # number of releases dropped after RETENTION_MS or beyond MAX_UNSENT
-    _serving: dict[int, None] = field(
-        default_factory=dict
-    )  # connections on which a session started, least recent first
+    # connections on which a session started, least recent first
+    _serving: dict[int, None] = field(default_factory=dict)
     _requesting: dict[int, None] = field(default_factory=dict)  # connections on which one was requested
     # by connection and tag, in order of writing: time of the end, the release
     _sent: dict[tuple[int, str], tuple[float, bytes]] = field(default_factory=dict)
--- a/tests/test_platform_core.py
+++ b/tests/test_platform_core.py
@@ -131,9 +131,8 @@
     assert world.sent_to_viewers[-1] == (1, {"verb": "FINISH", "tag": name(1), "opts": {}, "rc": 16})
     ended = world.events[-1]
     assert isinstance(ended, fl.Ended) and ended.final and ended.load == fl.Load(link=0.5)
-    world.receive_from_server(
-        node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n")
-    )  # sent again on another connection
+    # sent again on another connection
+    world.receive_from_server(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\n"))
     assert len(world.verbs(name(1))) == 2
     world.receive_from_viewer(confirm_line(name(1)))
     sizes = world.core.table_sizes()
@@ -200,9 +199,8 @@
     world.receive_from_viewer(start_line(name(1), "paid"))
     [(node, conn, _)] = world.connect_waiting()
     world.receive_from_server(node, conn, rtsp_answer(200, name(1), body))
-    assert [m["rc"] for _, m in world.sent_to_viewers] == [
-        41
-    ]  # it may have run, so it fails and is not refused
+    # it may have run, so it fails and is not refused
+    assert [m["rc"] for _, m in world.sent_to_viewers] == [41]
     assert (node, conn) in [(n, c) for n, c, data in world.sent_to_servers if data.startswith(b"TEARDOWN")]
 
 
@@ -315,9 +313,8 @@
     world.receive_from_viewer(finish_line(name(9), 34), 3)  # of an unknown tag
     released = [d for n, c, d in world.sent_to_servers if (n, c) == (node, conn)]
     assert len(released) == 1 and b"Reason: cause=" in released[0]
-    world.receive_from_server(
-        node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=31\r\n")
-    )  # both at the same time
+    # both at the same time
+    world.receive_from_server(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=31\r\n"))
     assert world.verbs(name(1)) == ["STARTED", "FINISHED", "FINISHED"]
     assert not world.core.sessions
 
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -405,9 +405,8 @@
             [opening] = client_connections(world)
             while world.director.core.open_requests(opening.number):
                 await asyncio.sleep(0)
-            counts = (
-                world.director.core.counts
-            )  # its message was received; it was neither answered nor closed
+            # its message was received; it was neither answered nor closed
+            counts = world.director.core.counts
             assert counts["given up"] + counts["left with its connection"] == 1
             assert world.director.count["viewer overdue"] == 0
             open_now.set()
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -168,9 +168,8 @@
     """A client that sends requests, ends its stream and never reads; wait until the director knows."""
     before = len(client_connections(world))
     client = socket.socket()
-    client.setsockopt(
-        socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
-    )  # before the connect, so that the window stays small
+    # before the connect, so that the window stays small
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     await loop.sock_connect(client, (world.director.config.listen.host, world.director.config.listen.port))
@@ -192,9 +191,8 @@
             clients = []
             for _ in range(2 * MAX_CLOSING):
                 clients.append(await leave_unread(world))
-                assert (
-                    len(client_connections(world)) <= MAX_CLOSING + 2
-                )  # one just accepted and one being aborted
+                # one just accepted and one being aborted
+                assert len(client_connections(world)) <= MAX_CLOSING + 2
             assert unsent(world) > 0
             while client_connections(world):
                 await asyncio.sleep(0.005)
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -35,14 +35,12 @@
     assert pool.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
     assert pool.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
     assert pool.handle(1, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 2)]
-    assert pool.handle(2, server_pool.SetupQueued(3)) == [
-        server_pool.UseConnection(1, 3)
-    ]  # no more may be opened: shared
+    # no more may be opened: shared
+    assert pool.handle(2, server_pool.SetupQueued(3)) == [server_pool.UseConnection(1, 3)]
     for conn in (1, 1, 2):
         pool.handle(3, server_pool.SlotReleased(conn))
-    assert action_names(pool.handle(4, server_pool.SetupQueued(4))) == [
-        "UseConnection"
-    ]  # idle ones are reused
+    # idle ones are reused
+    assert action_names(pool.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]
 
 
 def test_a_connection_that_is_not_up_in_time_or_refused_fails_one_waiting_set_up() -> None:
@@ -71,9 +69,10 @@
     pool.handle(0, server_pool.ConnectionOpened(1))
     assert pool.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
     assert pool.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    # may be dead: not used
     assert action_names(pool.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
         "OpenConnection"
-    ]  # may be dead: not used
+    ]
     after = server_pool.PING_IDLE_MS + server_pool.PING_TIMEOUT_MS
     assert server_pool.CloseConnection(1) in pool.handle(after, server_pool.Tick())
 
@@ -362,9 +361,8 @@
     assert watch.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
         (4).to_bytes(8, "big")
     )
-    assert (
-        watch.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
-    )  # a timer of the old connection
+    # a timer of the old connection
+    assert watch.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
 
 
 def test_an_invalid_frame_causes_a_reconnect() -> None:
@@ -461,9 +459,8 @@
     assert shutdown.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
     for received in (8, 9, 10, 11, 12, 13):  # new input at each check
         assert shutdown.check(1000, stop.PendingWork(0, 0, received)) is stop.Step.CHECK
-    assert (
-        shutdown.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT
-    )  # one of the inputs was a request
+    # one of the inputs was a request
+    assert shutdown.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT
     assert shutdown.state is stop.State.DRAINING
     steps = check_repeatedly(shutdown, 1100, 0, 0, 15)
     assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [stop.Step.END]  # the first sees new input
@@ -582,9 +579,8 @@
         releases.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
         and releases.expired == 1
     )
-    assert (
-        releases.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
-    )  # another connection does not extend the retention
+    # another connection does not extend the retention
+    assert releases.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
     assert len(releases) == 0 and releases.expired == 2
     releases.session_requested(0, 2)
     for k in range(3 * viewer_releases.MAX_UNCONFIRMED):
@@ -635,9 +631,8 @@
     )
     refused = make_pool()
     assert refused.handle(0, server_pool.ConnectRequested()) == [server_pool.OpenConnection(1, 250.0)]
-    assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [
-        server_pool.DiscardUnsent()
-    ]  # its process is gone, and with it its sessions
+    # its process is gone, and with it its sessions
+    assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [server_pool.DiscardUnsent()]
     assert refused.handle(900, server_pool.Tick()) == []
 
 
@@ -673,9 +668,8 @@
     pool.handle(2, server_pool.DataReceived(1))
     assert pool.handle(1000, server_pool.Tick()) == [server_pool.PingConnection(1)]
     for key in (7, 8):
-        assert (
-            pool.handle(1001, server_pool.SetupQueued(key)) == []
-        )  # it may be dead, and no other may be opened
+        # it may be dead, and no other may be opened
+        assert pool.handle(1001, server_pool.SetupQueued(key)) == []
     assert pool.handle(1002, server_pool.DataReceived(1)) == [
         server_pool.UseConnection(1, 7),
         server_pool.UseConnection(1, 8),
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -233,9 +233,8 @@
         do(now, k, feeds[k].handle(now, event))
     back = [min(t for t in mine if t >= DOWN_MS) - DOWN_MS for mine in asked]
     assert all(t < 0 or t >= DOWN_MS for mine in asked for t in mine)
-    assert (
-        max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
-    )  # long before 4 s
+    # long before 4 s
+    assert max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
     most = max(sum(1 for t in back if start <= t < start + 50) for start in range(0, int(max(back)), 10))
     assert most <= DIRECTORS / 4, sorted(back)  # share of the fleet in any 50 ms
     during = sum(1 for t in tried if 0 <= t < DOWN_MS)
