--- a/foxlift/platform/session_endings.py
+++ b/foxlift/platform/session_endings.py
@@ -111,16 +111,16 @@
 
     def connection_lost(self, now: float, node: int) -> list[bytes]:
         """A connection to the server closed: return the releases to send again, as any may have been lost."""
-        resent: list[bytes] = []
+        releases: list[bytes] = []
         for tag in list(self._sent_to.get(node, ())):
             sent = self._sent[node, tag]
             if now - sent.sent_at > RELEASE_RETENTION_MS or sent.sends >= MAX_SENDS:
                 self._forget(node, tag)
                 continue
             sent.sends += 1
-            resent.append(sent.data)
-        self.resent += len(resent)
-        return resent
+            releases.append(sent.data)
+        self.resent += len(releases)
+        return releases
 
     def server_removed(self, node: int) -> None:
         """The server no longer exists, nor do its sessions."""
--- a/tests/test_platform_admission.py
+++ b/tests/test_platform_admission.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 import pytest
-from test_platform_crossings import connected, lines_of, push, stall_loop
-from test_platform_sockets import Scene, client_connections, name, play, scene
+from test_platform_crossings import connect_unaccepted, push, read_messages, stall_loop
+from test_platform_sockets import Scene, client_connections, name, run_scenario, scene
 
 from foxlift.platform import descriptors
 from foxlift.platform.admission import FIRST_BYTE_GRACE_MS, MAX_OVERSHOOT, ConnectionAdmission
 from foxlift.standins.platform import Viewer, start_line
 
-LEAST_SOCKETS = 64  # the smallest descriptor limit that the settings allow
+MIN_SOCKETS = 64  # the smallest descriptor limit that the settings allow
 REQUEST = start_line(name(1))
 
 
@@ -120,7 +120,7 @@
 async def full(world: Scene) -> list[Viewer]:
     """Connect clients up to the bound; each had a test answered and stays connected and idle."""
     clients = []
-    for k in range(descriptors.max_client_connections(LEAST_SOCKETS)):
+    for k in range(descriptors.max_client_connections(MIN_SOCKETS)):
         clients.append(await world.viewer())
         clients[-1].send(b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % name(100 + k).encode())
         assert await clients[-1].read()
@@ -134,7 +134,7 @@
     """At the bound, a client sends its request late or in two pieces while others connect."""
 
     async def test() -> None:
-        async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
+        async with scene(tmp_path, sockets=MIN_SOCKETS) as world:
             clients = await full(world)
             slow = await world.viewer()
             slow.send(REQUEST[:first_bytes])
@@ -148,9 +148,9 @@
             answer = await slow.answer(name(1))
             assert answer is not None, "closed without an answer"
             assert answer["verb"] == "STARTED"
-            assert len(client_connections(world)) <= descriptors.max_client_connections(LEAST_SOCKETS)
+            assert len(client_connections(world)) <= descriptors.max_client_connections(MIN_SOCKETS)
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("silent", [b"", REQUEST[:20]], ids=["silent", "half a message"])
@@ -158,7 +158,7 @@
     tmp_path: Path, silent: bytes
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
+        async with scene(tmp_path, sockets=MIN_SOCKETS) as world:
             await full(world)
             for k in range(40):
                 for _ in range(10):
@@ -171,17 +171,17 @@
                 assert answer["verb"] == "STARTED"
                 usual.close()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_unread_request_keeps_its_connection_when_others_connect(tmp_path: Path) -> None:
     """At the bound, the longest idle client sends a request while the loop is busy accepting others."""
 
     async def test() -> None:
-        async with scene(tmp_path, sockets=LEAST_SOCKETS) as world:
+        async with scene(tmp_path, sockets=MIN_SOCKETS) as world:
             idle, trigger, *_ = await full(world)
             busy = stall_loop(world, lambda: push(idle, start_line(name(2))))
-            newcomers = [connected(world, start_line(name(3 + k))) for k in range(4)]
+            newcomers = [connect_unaccepted(world, start_line(name(3 + k))) for k in range(4)]
             push(trigger, start_line(name(1)))
             await busy.wait()
             assert await trigger.answer(name(1))
@@ -189,8 +189,8 @@
             assert answer is not None, "closed without an answer"
             assert answer["verb"] == "STARTED"
             for sock in newcomers:
-                (answer,) = await lines_of(sock, lambda message: message["verb"] != "PENDING")
+                (answer,) = await read_messages(sock, lambda message: message["verb"] != "PENDING")
                 assert answer["verb"] == "STARTED"
                 sock.close()
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -28,8 +28,8 @@
     client_connections,
     connect_unreading_viewer,
     name,
-    play,
     process,
+    run_scenario,
     scene,
     send_more,
     stop_reading,
@@ -53,7 +53,7 @@
     assert os.write(viewer.writer.get_extra_info("socket").fileno(), data) == len(data)
 
 
-def connected(world: Scene, data: bytes = b"", receive_buffer: int | None = None) -> socket.socket:
+def connect_unaccepted(world: Scene, data: bytes = b"", receive_buffer: int | None = None) -> socket.socket:
     """Open a connection that waits in the accept queue, with unread bytes, until the loop runs.
 
     `receive_buffer`: bytes, set before it connects: a window that shrinks later loses acknowledgements.
@@ -68,7 +68,7 @@
     return made
 
 
-async def lines_of(sock: socket.socket, until: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
+async def read_messages(sock: socket.socket, until: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
     """Return the messages on a plain socket up to the one wanted, or all if the connection closes before."""
     reader, _ = await asyncio.open_connection(sock=sock)
     found: list[dict[str, Any]] = []
@@ -97,15 +97,15 @@
             assert await viewer.answer(name(1))
             world.director.stop()
             push(viewer, start_line(name(2)))  # unread
-            queued = connected(world, start_line(name(3)))  # not accepted
+            queued = connect_unaccepted(world, start_line(name(3)))  # not accepted
             world.director._tick()  # no work is pending from what was read
             await world.director.ended
             await world.director.close()
             answer = await viewer.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED"
-            assert [m["verb"] for m in await lines_of(queued, lambda m: True)] == ["STARTED"]
+            assert [m["verb"] for m in await read_messages(queued, lambda m: True)] == ["STARTED"]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_stop_waits_for_a_viewer_that_reads_slowly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -127,7 +127,7 @@
             assert answer is not None and (answer["tag"], answer["verb"]) == (name(2), "STARTED")
             await world.director.ended
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize(("klass", "cause"), [("paid", 41), ("free", 34)])
@@ -152,7 +152,7 @@
             await world.director.ended
             assert not world.director.core.table_sizes()["attempts"]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_stop_signal_during_the_start_ends_a_director_without_requests(tmp_path: Path) -> None:
@@ -211,7 +211,7 @@
         later.stop()
         await server.stop()
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- A client that left while its request waited ----------------------------------------------------------
@@ -219,14 +219,14 @@
     """A viewer on a plain socket: its actions are complete when a call returns."""
 
     def __init__(self, world: Scene, receive_buffer: int | None = None) -> None:
-        self.sock = connected(world, receive_buffer=receive_buffer)
+        self.sock = connect_unaccepted(world, receive_buffer=receive_buffer)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def leave(self, how: str) -> None:
         match how:
-            case "take-back":
+            case "cancel":
                 self.send(finish_line(name(1)))
             case "end of stream":
                 self.sock.shutdown(socket.SHUT_WR)
@@ -237,7 +237,7 @@
                 self.sock.close()
 
 
-WAYS_TO_LEAVE = ["take-back", "end of stream", "close", "reset"]
+WAYS_TO_LEAVE = ["cancel", "end of stream", "close", "reset"]
 left_by = pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 
 
@@ -306,7 +306,7 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
@@ -338,7 +338,7 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 1
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
@@ -355,7 +355,7 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
@@ -384,10 +384,10 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
-@pytest.mark.parametrize("leave", ["take-back", "end of stream"])
+@pytest.mark.parametrize("leave", ["cancel", "end of stream"])
 def test_a_client_leaves_with_unread_answers(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
@@ -397,7 +397,7 @@
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
             await fill(world, unreading)
-            if leave == "take-back":
+            if leave == "cancel":
                 push(unreading, finish_line(name(1)))
             else:
                 with socket.socket(fileno=os.dup(unreading.writer.get_extra_info("socket").fileno())) as far:
@@ -414,7 +414,7 @@
             assert sent(world, 1) == 0
             unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_connection_closed_for_invalid_bytes_withdraws_its_waiting_requests(tmp_path: Path) -> None:
@@ -435,7 +435,7 @@
             assert sent(world, 1) == 0
             unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- Servers ----------------------------------------------------------------------------------------------
@@ -469,7 +469,7 @@
             assert told == {(name(k), "STARTED") for k in (7, 1, 2, 3)}
             assert [sent(world, k) for k in (1, 2, 3)] == [1, 1, 1]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_release_to_a_server_is_sent_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
@@ -508,7 +508,7 @@
             await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             assert not director.servers.unsent
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_removed_server_that_is_relisted_is_used_at_its_new_address(tmp_path: Path) -> None:
@@ -533,7 +533,7 @@
                 assert answer is not None and answer["verb"] == "STARTED"
                 assert "SETUP" in other.methods(name(k))
 
-    play(test)
+    run_scenario(test)
 
 
 def test_connecting_to_a_removed_server_is_cancelled_before_another_answers_at_its_address(
@@ -557,4 +557,4 @@
             assert told is not None and told["verb"] == "STARTED"
             assert sent(world, 1) == 1 and {node for node, _ in director.servers.connections} == {2}
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_departures.py
+++ b/tests/test_platform_departures.py
@@ -32,7 +32,16 @@
     serve_another,
     stall_loop,
 )
-from test_platform_sockets import SMALL_BUFFER, Scene, client_connections, name, play, process, scene, unsent
+from test_platform_sockets import (
+    SMALL_BUFFER,
+    Scene,
+    client_connections,
+    name,
+    process,
+    run_scenario,
+    scene,
+    unsent,
+)
 from test_platform_turns import LONG_TIME, accept_silently, idle_connection, write_now
 
 from foxlift.platform import rtsp, server_pool
@@ -49,7 +58,7 @@
 STAYS = "stays"
 BUSY_CLIENTS = 10  # clients or requests that together keep the loop busy for as long as a stall
 CONNECT_MS = 20_000.0  # for a connection whose opening the test delays
-ASKED = start_line(name(1), "paid", opts=LONG_TIME)
+REQUEST_LINE = start_line(name(1), "paid", opts=LONG_TIME)
 ECHO = b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % name(3).encode()
 
 
@@ -103,7 +112,7 @@
     place = module._place
     module._place = lambda session: False  # type: ignore[method-assign]  # no server has room
     client = Leaver(world)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     while not module.held:
         await asyncio.sleep(0)
 
@@ -121,7 +130,7 @@
     other = await world.viewer()
     other.send(start_line(name(7), opts=LONG_TIME))
     await server.until(lambda: bool(out))
-    client.send(ASKED + ECHO)
+    client.send(REQUEST_LINE + ECHO)
     await wait_until_read(client, b"ECHOED")
     [(_, body, writer)] = out
     return lambda: write_now(writer, rtsp_answer(200, name(7), b"box\r\n" + body))
@@ -142,7 +151,7 @@
 
 async def waiting_for_an_opening_connection(world: Scene, departure: Departure) -> None:
     open_now, client = delay_connects(world), Leaver(world)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
 
@@ -195,7 +204,7 @@
     client = Leaver(world)
     await while_blocked(world, lambda: None)  # afterwards, the client is connected
     done = stall_loop(world, lambda: departure.take_place(client))
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     await done.wait()
 
 
@@ -210,7 +219,7 @@
         departure.take_place(client)
 
     done = stall_loop(world, meanwhile)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     await done.wait()
 
 
@@ -221,7 +230,7 @@
     await while_blocked(world, lambda: None)
 
     def meanwhile() -> None:
-        client.send(ASKED)
+        client.send(REQUEST_LINE)
         departure.take_place(client)
 
     done = stall_loop(world, meanwhile)
@@ -234,7 +243,7 @@
 
     def meanwhile() -> None:
         client = Leaver(world)
-        client.send(ASKED)
+        client.send(REQUEST_LINE)
         departure.take_place(client)
 
     await while_blocked(world, meanwhile)
@@ -256,7 +265,7 @@
         push(other, ECHO)
 
     stall_loop(world, with_the_request)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     await in_the_reading.wait()
 
 
@@ -282,7 +291,7 @@
             push(other, ECHO)
 
     stall_loop(world, with_the_request)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     while reads < BUSY_CLIENTS:
         await asyncio.sleep(0)
 
@@ -306,7 +315,7 @@
 
     def backlog() -> None:
         push(other, b"".join(start_line(name(100 + k), "paid", opts=LONG_TIME) for k in range(BUSY_CLIENTS)))
-        client.send(ASKED)
+        client.send(REQUEST_LINE)
         core.take_setup = slow_take  # type: ignore[method-assign]
 
     await while_blocked(world, backlog)
@@ -339,7 +348,7 @@
     """So much is unsent to the client that its reading would be paused if it had no open request."""
     open_now, client = delay_connects(world), Leaver(world, receive_buffer=SMALL_BUFFER)
     connection = await unread_answers(world, client)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
     while not connection._write_blocked:
@@ -359,7 +368,7 @@
     connection = await unread_answers(world, client)
     assert connection.transport is not None
     connection.transport.set_write_buffer_limits(high=unsent(world))
-    client.send(ECHO * 200 + ASKED)
+    client.send(ECHO * 200 + REQUEST_LINE)
     while not world.director.servers.opening:
         await asyncio.sleep(0)
     assert connection._write_blocked
@@ -404,7 +413,7 @@
             await place(world, departure)
             await departure.check()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_client_that_keeps_sending_to_a_slow_loop_gets_its_attempt(tmp_path: Path) -> None:
@@ -428,12 +437,12 @@
                 assert not sent(world, 1)
 
             stall_loop(world, sends_more)
-            client.send(ASKED)
+            client.send(REQUEST_LINE)
             while not sent(world, 1):
                 await asyncio.sleep(0)
             assert stalls == 3
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("way", WAYS_TO_LEAVE)
@@ -456,7 +465,7 @@
                 await asyncio.sleep(0)
             assert connection.transport.get_write_buffer_size() < HIGH_WATER_BYTES
             client = Leaver(world)
-            client.send(ASKED)
+            client.send(REQUEST_LINE)
             while director.core.counts["asked"] < 2:
                 await asyncio.sleep(0)
             while (asked := director.core._by_tag.get(name(1))) is not None and not asked.server_conn:
@@ -472,7 +481,7 @@
             await server.until(lambda: bool(server.methods(name(5))))
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- A suspended process --------------------------------------------------------------------------------
@@ -526,14 +535,14 @@
     client.send(ECHO)
     await wait_until_read(client, b"ECHOED")
     await world.suspend()
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     departure.take_place(client)
 
 
 async def stopped_before_it_accepts(world: ProcessScene, departure: Departure) -> None:
     await world.suspend()
     client = Leaver(world)
-    client.send(ASKED)
+    client.send(REQUEST_LINE)
     departure.take_place(client)
 
 
@@ -574,4 +583,4 @@
             world.resume()
             await departure.check()
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -16,7 +16,7 @@
 import pytest
 from platform_world import config, member
 from ports import free_address
-from test_platform_sockets import Scene, client_connections, name, play, scene, unsent
+from test_platform_sockets import Scene, client_connections, name, run_scenario, scene, unsent
 
 from foxlift.platform import server_pool
 from foxlift.platform.admission import MAX_OVERSHOOT
@@ -35,7 +35,7 @@
 IDLE_CLIENTS = 400
 UNREAD_ANSWERS = 700  # about 40 KB: more than small buffers hold, too little to pause the director's reading
 USUAL_WAIT_S = 1.5  # for discovery: two waits of half a second with a jitter of a quarter, and a margin
-NO_LIMIT_OF_ITS_OWN = 4096  # a configured value above the process's limit
+HIGH_CONFIGURED_LIMIT = 4096  # a configured value above the process's limit
 
 
 def echo(number: int) -> bytes:
@@ -114,7 +114,7 @@
 }
 
 
-@pytest.mark.parametrize("sockets", [DESCRIPTORS, NO_LIMIT_OF_ITS_OWN])
+@pytest.mark.parametrize("sockets", [DESCRIPTORS, HIGH_CONFIGURED_LIMIT])
 @pytest.mark.parametrize("kind", IDLE)
 def test_discovery_reconnects_while_idle_clients_and_servers_need_every_descriptor(
     tmp_path: Path, kind: str, sockets: int
@@ -161,7 +161,7 @@
             for client in (usual, last, newcomer, *idle):
                 client.close()
 
-    play(test)
+    run_scenario(test)
 
 
 async def leave_unread(world: Scene) -> socket.socket:
@@ -199,7 +199,7 @@
             for client in clients:
                 client.close()
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("descriptors", [64, 128, 256, 1024])
--- a/tests/test_platform_session_endings.py
+++ b/tests/test_platform_session_endings.py
@@ -22,10 +22,10 @@
 from foxlift.platform.settings import Address, ListUpdate
 from foxlift.standins.platform import finish_line, rtsp_answer, rtsp_request, start_line
 
-BOX = 11
+SERVER = 11
 
 
-def handover_line(tag: str, node: int = BOX) -> bytes:
+def handover_line(tag: str, node: int = SERVER) -> bytes:
     extras = f"home:0;copies:4;top:3;viewer:00000000b4d65521;at:s-{node:08x}"
     return start_line(tag, opts={"extras": extras})
 
@@ -39,7 +39,7 @@
     cause: int, expected_causes: list[int]
 ) -> None:
     world = World()
-    world.receive_from_server(BOX, 101, rtsp_request("TEARDOWN", name(1), f"Reason: cause={cause}\r\n"))
+    world.receive_from_server(SERVER, 101, rtsp_request("TEARDOWN", name(1), f"Reason: cause={cause}\r\n"))
     world.receive_from_viewer(handover_line(name(1)))
     assert [m["rc"] for _, m in world.sent_to_viewers if m["verb"] == "FINISH"] == expected_causes
     assert world.core.table_sizes()["sessions"] == (0 if expected_causes else 1)
@@ -47,7 +47,7 @@
 
 def test_an_end_reported_by_another_server_does_not_end_the_session() -> None:
     world = World()
-    world.receive_from_server(BOX + 1, 101, rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
+    world.receive_from_server(SERVER + 1, 101, rtsp_request("TEARDOWN", name(1), "Reason: cause=41\r\n"))
     world.receive_from_viewer(handover_line(name(1)))
     assert world.core.table_sizes()["sessions"] == 1 and not world.verbs(name(1))
 
@@ -64,7 +64,7 @@
     world = World(servers={12: 1})
     world.receive_from_viewer(handover_line(name(1)))
     world.receive_from_viewer(finish_line(name(1), 16))
-    listed = World(servers={BOX: 0, 12: 1}).config.known[0]
+    listed = World(servers={SERVER: 0, 12: 1}).config.known[0]
     world.handle(ev.ListUpdated(listed))
     assert methods_sent(world, name(1)) == [b"TEARDOWN"] and not world.core.table_sizes()["sessions"]
     world.pass_time(4000)
@@ -129,14 +129,14 @@
     table = SessionEndings()
     for k in range(2 * MAX_ENTRIES):
         table.record_end(0, name(k), EndSource.VIEWER, cause=16)
-        table.release_sent(0, BOX, name(k), b"x")
+        table.release_sent(0, SERVER, name(k), b"x")
     assert len(table._ends) == len(table) == MAX_ENTRIES
     assert (
-        table.find_end(1, name(2 * MAX_ENTRIES - 1), BOX) == (EndSource.VIEWER, 16)
-        and table.find_end(1, name(0), BOX) is None
+        table.find_end(1, name(2 * MAX_ENTRIES - 1), SERVER) == (EndSource.VIEWER, 16)
+        and table.find_end(1, name(0), SERVER) is None
     )
-    assert table.find_end(END_RETENTION_MS + 1, name(2 * MAX_ENTRIES - 1), BOX) is None
-    table.server_removed(BOX)
+    assert table.find_end(END_RETENTION_MS + 1, name(2 * MAX_ENTRIES - 1), SERVER) is None
+    table.server_removed(SERVER)
     table.expire(END_RETENTION_MS + 1)
     assert not len(table) and not table._ends
 
@@ -190,17 +190,19 @@
 
 def test_abandoned_set_ups_are_recorded_until_confirmed_or_expired() -> None:
     table = SessionEndings()
-    table.setup_abandoned(0, BOX, 5, name(1))
-    assert table.is_abandoned(1, BOX, 5, name(1))
-    assert not table.is_abandoned(1, BOX, 6, name(1)) and not table.is_abandoned(1, BOX, 5, name(2))
-    table.confirmed(BOX, 6, name(1))
-    assert table.is_abandoned(1, BOX, 5, name(1))
-    table.confirmed(BOX, 5, name(1))
-    assert not table.is_abandoned(1, BOX, 5, name(1))
+    table.setup_abandoned(0, SERVER, 5, name(1))
+    assert table.is_abandoned(1, SERVER, 5, name(1))
+    assert not table.is_abandoned(1, SERVER, 6, name(1)) and not table.is_abandoned(1, SERVER, 5, name(2))
+    table.confirmed(SERVER, 6, name(1))
+    assert table.is_abandoned(1, SERVER, 5, name(1))
+    table.confirmed(SERVER, 5, name(1))
+    assert not table.is_abandoned(1, SERVER, 5, name(1))
     for k in range(2 * MAX_ENTRIES):
-        table.setup_abandoned(0, BOX, 5, name(k))
-    assert len(table._abandoned) == MAX_ENTRIES and table.is_abandoned(1, BOX, 5, name(2 * MAX_ENTRIES - 1))
-    assert not table.is_abandoned(RELEASE_RETENTION_MS + 1, BOX, 5, name(2 * MAX_ENTRIES - 1))
+        table.setup_abandoned(0, SERVER, 5, name(k))
+    assert len(table._abandoned) == MAX_ENTRIES and table.is_abandoned(
+        1, SERVER, 5, name(2 * MAX_ENTRIES - 1)
+    )
+    assert not table.is_abandoned(RELEASE_RETENTION_MS + 1, SERVER, 5, name(2 * MAX_ENTRIES - 1))
     table.expire(RELEASE_RETENTION_MS + 1)
     assert not table._abandoned
 
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -94,7 +94,7 @@
     assert not errors, errors
 
 
-def play(test: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(test: Callable[[], Awaitable[None]]) -> None:
     async def run() -> None:
         # a time-out here, because uvloop does not pass the alarm of the test runner
         await asyncio.wait_for(test(), 40)
@@ -121,11 +121,11 @@
                 if k in ("sessions", "ids", "attempts", "ghosts")
             )
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "corrupt",
     [
         b"\x00\xff\x13noise\r\n\r\n",
         rtsp_answer(200, name(1), b"body that is cut short").replace(b"Length: 22", b"Length: 9"),
@@ -134,7 +134,7 @@
         b"RTSP/1.0 200 " + b"h" * 20000,
     ],
 )
-def test_an_invalid_answer_affects_its_own_session_only(tmp_path: Path, spoilt: bytes) -> None:
+def test_an_invalid_answer_affects_its_own_session_only(tmp_path: Path, corrupt: bytes) -> None:
     async def test() -> None:
         async with scene(tmp_path, servers=1) as world:
             viewer = await world.viewer()
@@ -143,7 +143,7 @@
 
             def behave(tag: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
                 if tag == name(1):
-                    writer.write(spoilt)
+                    writer.write(corrupt)
                 else:
                     waits.append((body, writer))
                 return True
@@ -160,7 +160,7 @@
             answer = await viewer.answer(name(77))
             assert answer is not None and answer["verb"] == "STARTED"
 
-    play(test)
+    run_scenario(test)
 
 
 def test_invalid_viewers_are_closed_and_valid_ones_served_meanwhile(tmp_path: Path) -> None:
@@ -190,7 +190,7 @@
             for viewer in silent:  # each is closed within its time limit
                 assert await viewer.read() is None
 
-    play(test)
+    run_scenario(test)
 
 
 def test_sixty_megabytes_in_one_line_are_not_buffered(tmp_path: Path) -> None:
@@ -206,7 +206,7 @@
             assert await viewer.read() is None
             assert world.director.count["viewer unreadable"] == 1
 
-    play(test)
+    run_scenario(test)
 
 
 async def connect_unreading_viewer(world: Scene) -> tuple[Viewer, bytes]:
@@ -263,7 +263,7 @@
             assert 0 < unsent(world) < 300_000
             unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_viewer_that_does_not_read_cannot_keep_a_closed_connection(tmp_path: Path) -> None:
@@ -276,7 +276,7 @@
                 await asyncio.sleep(0.01)
             unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_server_that_dies_releases_its_sessions_and_affects_no_others(tmp_path: Path) -> None:
@@ -296,7 +296,7 @@
                 assert message is not None and (message["verb"], message["rc"]) == ("FINISH", 41)
                 over.add(message["tag"])
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_reset_connection_with_sessions_is_reopened_and_receives_their_end(tmp_path: Path) -> None:
@@ -314,7 +314,7 @@
             over = await viewer.answer(name(1))
             assert over is not None and over["rc"] == 41
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_unanswered_set_up_is_cancelled_at_its_server(tmp_path: Path) -> None:
@@ -329,7 +329,7 @@
             server = world.server_of(name(1))
             await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_release_reaches_its_viewer_on_another_connection_or_the_next(tmp_path: Path) -> None:
@@ -356,7 +356,7 @@
             over = await second.answer(name(2))
             assert over is not None and over["verb"] == "FINISH"
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_release_that_crosses_the_retirement_of_an_idle_connection_is_received(tmp_path: Path) -> None:
@@ -386,7 +386,7 @@
             over = {m["tag"] for m in [await viewer.read() for _ in range(3)] if m and m["verb"] == "FINISH"}
             assert over == {tag for tag, _, _ in received}
 
-    play(test)
+    run_scenario(test)
 
 
 def test_drains_persist_and_a_new_coordinator_is_used(tmp_path: Path) -> None:
@@ -420,7 +420,7 @@
                 await asyncio.sleep(0.002)
             other.stop()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_connections_are_kept_for_servers_with_sessions_only_and_descriptors_are_bounded(
@@ -440,7 +440,7 @@
                 len(line.connections) <= 64 * 0.3 / 4 for line in world.director.servers.pools.values()
             )
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_uncaught_exception_closes_one_connection_and_is_logged(tmp_path: Path) -> None:
@@ -472,7 +472,7 @@
             silent = await world.viewer()
             assert await silent.read() is None  # timers still run: it is closed within its time limit
 
-    play(test)
+    run_scenario(test)
 
 
 def test_the_time_a_request_was_unread_is_subtracted_from_the_viewers(tmp_path: Path) -> None:
@@ -499,7 +499,7 @@
             [within] = [int(headers["answer-within"]) for _, tag, headers in asked if tag == name(2)]
             assert within <= 905  # of the viewer's 1,000 ms
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_watch_closed_inside_a_frame_requests_from_the_last_update_received(tmp_path: Path) -> None:
@@ -515,7 +515,7 @@
                 await asyncio.sleep(0.002)
             assert world.coordinator.asked == [1, 1]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_the_last_log_lines_hold_the_usage_of_each_server(tmp_path: Path) -> None:
@@ -532,7 +532,7 @@
             assert world.director.servers_line() == "s-00000001 plays 2 sets up 1 out 1 on 1"
             assert "asked 3" in world.director.summary_line()
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- As a process -----------------------------------------------------------------------------------------
@@ -609,4 +609,4 @@
         coordinator.stop()
         await server.stop()
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -21,7 +21,7 @@
 from platform_world import config, member, settings
 from ports import free_address
 from test_platform_crossings import Leaver, left_by, push, sent, serve_another, stall_loop
-from test_platform_sockets import Scene, client_connections, name, play, process, scene
+from test_platform_sockets import Scene, client_connections, name, process, run_scenario, scene
 
 from foxlift.platform import admission, server_pool
 from foxlift.platform.buffers import HIGH_WATER_BYTES
@@ -75,7 +75,7 @@
 async def wait_until_idle(world: Scene) -> None:
     """Wait until no request is open and no set-up unanswered."""
     core = world.director.core
-    while core.unanswered or any(line.in_flight for line in world.director.servers.pools.values()):
+    while core.unanswered or any(pool.in_flight for pool in world.director.servers.pools.values()):
         await asyncio.sleep(0)
 
 
@@ -89,14 +89,14 @@
 
 
 # ---- Cancel, answer, time-out -----------------------------------------------------------------------------
-CROSSING = [
-    order for some in (2, 3) for order in itertools.permutations(("answer", "take-back", "time-out"), some)
+EVENT_ORDERS = [
+    order for some in (2, 3) for order in itertools.permutations(("answer", "cancel", "time-out"), some)
 ]
 
 
 @pytest.mark.parametrize("late_ms", [5.0, 50.0])  # a long stall, or a time-out that expires near its end
 @pytest.mark.parametrize("klass", ["paid", "free"])
-@pytest.mark.parametrize("order", CROSSING, ids=["-".join(order) for order in CROSSING])
+@pytest.mark.parametrize("order", EVENT_ORDERS, ids=["-".join(order) for order in EVENT_ORDERS])
 def test_events_ready_in_one_iteration_give_one_end(
     tmp_path: Path, order: tuple[str, ...], klass: str, late_ms: float
 ) -> None:
@@ -117,7 +117,7 @@
                 for what in order:
                     if what == "answer":
                         write_now(writer, rtsp_answer(200, name(1), b"box\r\n" + body))
-                    elif what == "take-back":
+                    elif what == "cancel":
                         push(viewer, finish_line(name(1)))
                     else:  # the loop is blocked past the viewer's time limit
                         due = core.attempts.timeout_at(number) - world.director.timeline.now()
@@ -130,14 +130,14 @@
             said = [m for m in await messages_received(viewer, 99) if m["tag"] == name(1)]
             ends = [m["verb"] for m in said if m["verb"] != "FINISHED"]
             assert len(ends) <= 1 and sent(world, 1) == 1
-            if "take-back" not in order:  # the answer arrived during the stall, so in time
+            if "cancel" not in order:  # the answer arrived during the stall, so in time
                 assert ends == ["STARTED"] and "TEARDOWN" not in server.methods(name(1))
             else:
                 assert [m["verb"] for m in said].count("FINISHED") == 1
                 await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
                 assert name(1) not in world.director.core._by_tag
 
-    play(test)
+    run_scenario(test)
 
 
 def test_cancels_after_fifty_set_ups_in_one_read_keep_theirs_from_every_server(tmp_path: Path) -> None:
@@ -156,7 +156,7 @@
             assert [sent(world, k) for k in asked] == [0 if k in back else 1 for k in asked]
             assert not await messages_received(viewer, 99)
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_cancel_after_the_write_reaches_the_server_and_the_answer_is_ignored(
@@ -184,7 +184,7 @@
             assert [m["verb"] for m in await messages_received(viewer, 99)] == ["FINISHED"]
             assert world.director.core.counts["answer that belongs to nothing"] == 1
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("confirms", [True, False], ids=["box confirms", "box does not"])
@@ -215,7 +215,7 @@
                     await asyncio.sleep(0)
                 assert [m["verb"] for m in await messages_received(viewer, 99)] == ["FINISHED"]
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- Held by the module -----------------------------------------------------------------------------------
@@ -248,7 +248,7 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 0 and not core.module.held
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- Reuse against a close --------------------------------------------------------------------------------
@@ -277,7 +277,7 @@
             assert answer is not None and answer["verb"] == "STARTED" and done.is_set()
             assert sent(world, 1) == 1 and len(server.writers) == 2
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("how", ["read, end of stream", "read, reset", "not read, reset"])
@@ -326,7 +326,7 @@
             assert world.director.core.counts["attempts"] - len(world.director.core.sessions) <= 2
             assert not await messages_received(viewer, 99)
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- More than one answer ---------------------------------------------------------------------------------
@@ -368,7 +368,7 @@
                 1 if first == "served" else 2
             )
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_answer_to_a_set_up_retried_at_another_server_is_ignored(tmp_path: Path) -> None:
@@ -396,7 +396,7 @@
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["blob"] == f"box\r\n{body.decode()}"
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_release_after_the_answer_in_one_read_ends_the_new_session(tmp_path: Path) -> None:
@@ -414,7 +414,7 @@
             assert first and second and [first["verb"], second["verb"]] == ["STARTED", "FINISH"]
             assert not world.director.core.sessions
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- The tick ---------------------------------------------------------------------------------------------
@@ -443,7 +443,7 @@
             await director.ended
             assert faults > 1 and director.count["exceptions"] == faults
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_overdue_partial_line_closes_its_connection_and_withdraws_its_requests_only(
@@ -464,7 +464,7 @@
             answer = await good.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED" and len(client_connections(world)) == 1
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- Time limits -------------------------------------------------------------------------------------------
@@ -498,7 +498,7 @@
             await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 def test_set_ups_are_not_buffered_behind_bytes_that_a_server_does_not_read(tmp_path: Path) -> None:
@@ -527,11 +527,17 @@
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 34)
             assert connection.transport.get_write_buffer_size() <= before  # the kernel may have accepted some
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- Invalid input ----------------------------------------------------------------------------------------
-BAD = [b"\xff\x00\n", b"x" * 70_000, b"[" * 15_000 + b"\n", b"GET / HTTP/1.1\r\n\r\n", b'{"verb":"START"}\n']
+INVALID_INPUT = [
+    b"\xff\x00\n",
+    b"x" * 70_000,
+    b"[" * 15_000 + b"\n",
+    b"GET / HTTP/1.1\r\n\r\n",
+    b'{"verb":"START"}\n',
+]
 
 
 @pytest.mark.parametrize("when", ["in a stop", "while the list is silent"])
@@ -550,17 +556,17 @@
                 director.stop()
             else:
                 world.coordinator.stop()
-            bad = [await world.viewer() for _ in BAD]
-            for viewer, data in zip(bad, BAD, strict=True):
+            bad = [await world.viewer() for _ in INVALID_INPUT]
+            for viewer, data in zip(bad, INVALID_INPUT, strict=True):
                 viewer.send(data)
             gives_up, again = await world.viewer(), await world.viewer()
             gives_up.send(b"".join(start_line(name(k)) + finish_line(name(k)) for k in range(100, 300)))
-            senseless = start_line(name(5), opts={"class": "none"})
+            invalid = start_line(name(5), opts={"class": "none"})
             for _ in range(admission.MAX_PROTOCOL_ERRORS - 1):  # repeated as soon as it is rejected
-                again.send(senseless)
+                again.send(invalid)
                 answer = await again.answer(name(5))
                 assert answer is not None and answer["verb"] == "FINISH"
-            again.send(senseless)  # the one too many
+            again.send(invalid)  # the one too many
             assert await again.answer(name(6)) is None
             for viewer in bad:
                 assert await viewer.read() is None
@@ -577,7 +583,7 @@
             if when == "in a stop":
                 await director.ended
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- As a process ------------------------------------------------------------------------------------------
@@ -615,4 +621,4 @@
         coordinator.stop()
         await server.stop()
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -14,7 +14,7 @@
 import pytest
 from platform_world import config, member
 from ports import free_address
-from test_platform_sockets import Scene, name, play, scene
+from test_platform_sockets import Scene, name, run_scenario, scene
 
 from foxlift import interface as fl
 from foxlift.platform import discovery_watch
@@ -63,7 +63,7 @@
             await numbered(world.director, 2)
             assert world.coordinator.asked == [1]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_reload_during_the_start_leaves_one_working_watch(tmp_path: Path) -> None:
@@ -89,7 +89,7 @@
             each.stop()
         await server.stop()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_frames_of_the_former_coordinator_after_the_first_of_the_new_one_are_ignored(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
             assert world.coordinator.asked == [1]
             later.stop()
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_full_list_after_a_gap_keeps_servers_cold_warm_or_draining(
@@ -153,7 +153,7 @@
                 assert await viewer.answer(name(k))
             assert not [m for m, _, _ in world.servers[1].got if m == "SETUP"]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_drain_read_together_with_a_full_list_without_the_server_stops_a_set_up_to_it(
@@ -184,7 +184,7 @@
             gone = world.servers[told[0] - 1]
             assert not gone.methods(name(1)) and told[0] not in director.core.module.nodes
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- A fleet at once, virtual time ------------------------------------------------------------------------
