--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -465,8 +465,8 @@
             os.write(far.fileno(), rtsp_answer(200, name(7), b"box\r\n" + body))
             with socket.socket(fileno=os.dup(far.fileno())) as end:
                 end.shutdown(socket.SHUT_WR)
-            told = {(m["tag"], m["verb"]) for m in [await viewer.read() for _ in range(4)] if m}
-            assert told == {(name(k), "STARTED") for k in (7, 1, 2, 3)}
+            received = {(m["tag"], m["verb"]) for m in [await viewer.read() for _ in range(4)] if m}
+            assert received == {(name(k), "STARTED") for k in (7, 1, 2, 3)}
             assert [sent(world, k) for k in (1, 2, 3)] == [1, 1, 1]
 
     run_scenario(test)
--- a/tests/test_platform_departures.py
+++ b/tests/test_platform_departures.py
@@ -96,12 +96,12 @@
     await done.wait()
 
 
-async def wait_until_read(client: Leaver, words: bytes) -> None:
+async def wait_until_read(client: Leaver, expected: bytes) -> None:
     """Wait until the client has read these bytes."""
-    heard = b""
-    while words not in heard:
+    received = b""
+    while expected not in received:
         try:
-            heard += client.sock.recv(65536)
+            received += client.sock.recv(65536)
         except BlockingIOError:
             await asyncio.sleep(0)
 
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -144,7 +144,7 @@
             loop = asyncio.get_running_loop()
             number, until = 40_000, loop.time() + USUAL_WAIT_S
             while not server.arrived.is_set():  # the only one on the new list, once that is received
-                assert loop.time() < until, "the list is not heard"
+                assert loop.time() < until, "the list did not arrive"
                 number += 1
                 newcomer.send(start_line(name(number), opts={"left": "3000"}))
                 answer = await newcomer.answer(name(number))
--- a/tests/test_platform_turns.py
+++ b/tests/test_platform_turns.py
@@ -571,8 +571,8 @@
             for viewer in bad:
                 assert await viewer.read() is None
             # one of the two answers is corrupt: only its own session fails
-            [(first, _, spoilt), (second, body, writer)] = [setup for each in out for setup in each]
-            write_now(spoilt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
+            [(first, _, corrupt), (second, body, writer)] = [setup for each in out for setup in each]
+            write_now(corrupt, b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3000000000\r\n\r\n")
             answer = await good.answer(first)
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", 41)
             write_now(writer, rtsp_answer(200, second, b"box\r\n" + body))
