--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -260,10 +260,14 @@
 def test_frames_at_every_split() -> None:
     data = frame(2, 1, record(7, "10.0.0.1:5060") + record(8, "10.0.0.2:5060", 1, 3, 1700)) + frame(2, 0)
     whole = discovery_watch.FrameReader(2, 2, 4).feed(data)
-    update = whole[0].update
-    assert update is not None and update.full and [box.info.node for box in update.servers] == [7, 8]
-    assert update.servers[1].info == fl.NodeInfo(8, 0, 0, 3, fl.Status.DRAINING, 1.0, 1700.0)
-    assert (update.servers[1].address.host, update.servers[1].address.port) == ("10.0.0.2", 5060)
+    list_update = whole[0].update
+    assert (
+        list_update is not None
+        and list_update.full
+        and [box.info.node for box in list_update.servers] == [7, 8]
+    )
+    assert list_update.servers[1].info == fl.NodeInfo(8, 0, 0, 3, fl.Status.DRAINING, 1.0, 1700.0)
+    assert (list_update.servers[1].address.host, list_update.servers[1].address.port) == ("10.0.0.2", 5060)
     assert whole[1] == discovery_watch.Frame(2, None)
     for cut in range(1, len(data)):
         reader = discovery_watch.FrameReader(2, 2, 4)
