--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -16,7 +16,7 @@
 from platform_world import config
 from sockets import World as Sockets
 from sockets import run
-from test_platform_core import World, at_line, name
+from test_platform_core import World, handover_line, name
 
 from foxlift import interface as fl
 from foxlift.decide.driver import FAULT_LOG_INTERVAL_MS, Driver
@@ -88,15 +88,15 @@
 
 def answers(world: World, tag: str) -> list[tuple[str, int | None]]:
     """Messages sent to the viewer of a request: verb and code."""
-    return [(m["verb"], m.get("rc")) for _, m in world.sent if m["tag"] == tag]
+    return [(m["verb"], m.get("rc")) for _, m in world.sent_to_viewers if m["tag"] == tag]
 
 
 def start_all(world: World) -> None:
     """Answer each set-up with success until no request is unanswered."""
     for _ in range(20):
-        for node, conn, data in world.leave():
+        for node, conn, data in world.connect_waiting():
             tag = data.split(b"Session: ")[1][:16].decode()
-            world.box(node, conn, rtsp_answer(200, tag, b"there\r\n"))
+            world.receive_from_server(node, conn, rtsp_answer(200, tag, b"there\r\n"))
         if not world.core.unanswered:
             return
         world.pass_time(100)
@@ -111,10 +111,10 @@
 def check_nothing_is_left(world: World) -> None:
     """End all sessions by their viewers, and check that all tables, seats and rates are empty."""
     for session in list(world.core.sessions.values()):
-        world.viewer(finish_line(session.tag))
+        world.receive_from_viewer(finish_line(session.tag))
     world.pass_time(10000)
     for conn in range(20):
-        world.tell(ev.ViewerDisconnected(conn))
+        world.handle(ev.ViewerDisconnected(conn))
     sizes = world.core.table_sizes()
     del sizes["boxes"], sizes["module boxes"], sizes["ghosts"]
     assert not any(sizes.values()), sizes
@@ -133,32 +133,36 @@
 ) -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    node, conn = world.stand(name(1), klass)
+    node, conn = world.start_session(name(1), klass)
     module.fails = fails = FailTimes(kind)
     module.when = when
     # in turn: a refusal by a box, a note, a list, a handover, a viewer that leaves, an end, a held request
-    world.viewer(start_line(name(2), klass))
-    for box, out, _ in world.leave():
-        world.box(box, out, rtsp_answer(453, name(2), more="Link-State: x0:0.5\r\n"))
-    world.box(node, conn, rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n"))
+    world.receive_from_viewer(start_line(name(2), klass))
+    for box, out, _ in world.connect_waiting():
+        world.receive_from_server(box, out, rtsp_answer(453, name(2), more="Link-State: x0:0.5\r\n"))
+    world.receive_from_server(
+        node, conn, rtsp_request("ANNOUNCE", name(1), "Fail-Word: link\r\nX-Reading: 0.5\r\n")
+    )
     lines = [
         ListedServer(box.info, Address("10.0.0.9", 1 + k))
         for k, box in enumerate(world.config.known[0].servers)
     ]
-    world.tell(ev.ListUpdated(ListUpdate(2, False, tuple(lines[:2]))))
-    world.viewer(at_line(name(3), node), 2)
-    world.viewer(start_line(name(4), klass))
-    world.viewer(finish_line(name(4)))
+    world.handle(ev.ListUpdated(ListUpdate(2, False, tuple(lines[:2]))))
+    world.receive_from_viewer(handover_line(name(3), node), 2)
+    world.receive_from_viewer(start_line(name(4), klass))
+    world.receive_from_viewer(finish_line(name(4)))
     start_all(world)
     world.pass_time(2000)
-    world.box(node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5\r\n"))
-    world.viewer(start_line(name(5), klass))
+    world.receive_from_server(
+        node, conn, rtsp_request("TEARDOWN", name(1), "Reason: cause=16\r\nLink-State: x0:0.5\r\n")
+    )
+    world.receive_from_viewer(start_line(name(5), klass))
     start_all(world)
-    world.tell(ev.ListUpdated(ListUpdate(3, False, drain(world))))
-    world.viewer(start_line(name(7), klass))  # held: all boxes drain
+    world.handle(ev.ListUpdated(ListUpdate(3, False, drain(world))))
+    world.receive_from_viewer(start_line(name(7), klass))  # held: all boxes drain
     world.pass_time(100)
-    world.tell(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
-    world.viewer(start_line(name(6), klass))
+    world.handle(ev.ListUpdated(ListUpdate(4, False, world.config.known[0].servers)))
+    world.receive_from_viewer(start_line(name(6), klass))
     start_all(world)
     assert not fails.remaining  # the fault occurred
     assert answers(world, name(7)) in ([("STARTED", None)], [("FINISH", REFUSED)])
@@ -181,11 +185,11 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.fails, module.when = FailTimes(fl.Ended, times), when
-    world.viewer(start_line(name(1), klass))
-    [(node, conn, _)] = world.leave()
-    world.tell(ev.ServerConnectionLost(node, conn))  # reset under the request
+    world.receive_from_viewer(start_line(name(1), klass))
+    [(node, conn, _)] = world.connect_waiting()
+    world.handle(ev.ServerConnectionLost(node, conn))  # reset under the request
     assert answers(world, name(1)) == [("FINISH", cause)]
-    assert not world.leave()
+    assert not world.connect_waiting()
     if times == 1 or when == "placing":  # a module that raises at every end keeps them in its tables
         check_nothing_is_left(world)
 
@@ -195,10 +199,10 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.fails, module.when = lambda event: isinstance(event, fl.Ask), when
-    world.viewer(start_line(name(1), "paid"))
-    assert answers(world, name(1)) == [("FINISH", REFUSED)] and not world.leave()
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    assert answers(world, name(1)) == [("FINISH", REFUSED)] and not world.connect_waiting()
     module.when = "never"
-    world.viewer(start_line(name(2), "paid"))
+    world.receive_from_viewer(start_line(name(2), "paid"))
     start_all(world)
     assert answers(world, name(2)) == [("STARTED", None)]
     check_nothing_is_left(world)
@@ -209,9 +213,9 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.fails, module.when = lambda event: isinstance(event, fl.Ended), "raising"
-    world.viewer(start_line(name(1), "paid"))
-    [(node, conn, _)] = world.leave()
-    world.box(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    [(node, conn, _)] = world.connect_waiting()
+    world.receive_from_server(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
     start_all(world)  # tried at the next holder, as without the report
     assert answers(world, name(1)) == [("STARTED", None)]
     assert world.core.counts["exceptions"] == 1
@@ -221,15 +225,15 @@
 def test_held_requests_are_answered_if_their_wake_raises_and_later_ones_still_wake() -> None:
     world = World(make=Faulty)
     module = faulty(world)
-    world.tell(ev.ListUpdated(ListUpdate(2, False, drain(world))))
+    world.handle(ev.ListUpdated(ListUpdate(2, False, drain(world))))
     module.fails = FailTimes(fl.Wake)
     for n in (1, 2):
-        world.viewer(start_line(name(n), "paid"))
-    assert not world.sent
+        world.receive_from_viewer(start_line(name(n), "paid"))
+    assert not world.sent_to_viewers
     world.pass_time(60)
     assert [answers(world, name(n)) for n in (1, 2)] == [[("FINISH", REFUSED)]] * 2
-    world.viewer(start_line(name(3), "free"))
-    world.tell(ev.ListUpdated(ListUpdate(3, False, world.config.known[0].servers)))
+    world.receive_from_viewer(start_line(name(3), "free"))
+    world.handle(ev.ListUpdated(ListUpdate(3, False, world.config.known[0].servers)))
     world.pass_time(120)
     start_all(world)
     assert answers(world, name(3)) == [("STARTED", None)]
@@ -244,7 +248,7 @@
     module.fails = lambda event: (
         isinstance(event, fl.NodeList) and any(line.node == bad for line in event.nodes)
     )
-    world.tell(ev.ListUpdated(ListUpdate(2, True, boxes[1:])))
+    world.handle(ev.ListUpdated(ListUpdate(2, True, boxes[1:])))
     assert set(module.nodes) == {box.info.node for box in boxes[1:]}
     assert boxes[0].info.node not in module.nodes  # a node missing in a full list is gone
 
@@ -283,8 +287,8 @@
         world.core._carry_out(action)
 
     world.core._driver._carry_out = carry_out
-    world.viewer(start_line(name(1), "paid"))
-    world.viewer(start_line(name(2), "free"))
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    world.receive_from_viewer(start_line(name(2), "free"))
     assert answers(world, name(1)) == [("FINISH", FAILED)]
     assert answers(world, name(2)) == [("FINISH", REFUSED)]
     check_nothing_is_left(world)
@@ -299,9 +303,9 @@
             raise Fault
 
     world.core._driver._carry_out = carry_out
-    world.viewer(start_line(name(1), "free"))
+    world.receive_from_viewer(start_line(name(1), "free"))
     assert answers(world, name(1)) == [("FINISH", REFUSED)]
-    assert not world.leave() and world.core.counts["attempts"] == 1
+    assert not world.connect_waiting() and world.core.counts["attempts"] == 1
     assert world.core.counts["exceptions"] == 1
     check_nothing_is_left(world)
 
@@ -310,13 +314,13 @@
     world = World(make=Faulty)
     module = faulty(world)
     module.fails, module.when = FailTimes(fl.Ended), "after"
-    world.viewer(start_line(name(1), "paid"))
-    [(node, conn, _)] = world.leave()
-    world.box(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
-    [(node, conn, _)] = world.leave()  # the module had sent it to another box before it raised
+    world.receive_from_viewer(start_line(name(1), "paid"))
+    [(node, conn, _)] = world.connect_waiting()
+    world.receive_from_server(node, conn, rtsp_answer(453, name(1), more="Link-State: x0:0.5\r\n"))
+    [(node, conn, _)] = world.connect_waiting()  # the module had sent it to another box before it raised
     module.fails, module.when = FailTimes(fl.Wake), "before"
-    world.tell(fl.Wake(0))
-    world.box(node, conn, rtsp_answer(200, name(1), b"there\r\n"))
+    world.handle(fl.Wake(0))
+    world.receive_from_server(node, conn, rtsp_answer(200, name(1), b"there\r\n"))
     assert answers(world, name(1)) == [("STARTED", None)]
     check_nothing_is_left(world)
 
--- a/tests/test_platform_crossings.py
+++ b/tests/test_platform_crossings.py
@@ -1,7 +1,8 @@
-"""Two events that cross at a platform director, each forced on loopback sockets.
+"""Pairs of events that cross at a platform director, each forced on loopback sockets.
 
-What is ready in one turn of the loop is made ready in one turn: bytes go into the machine's buffers by calls
-that do not wait, and then the director's own timer is run by hand. All pairs: `docs/design/crossings.md`.
+Guards against faults that occur only if both events are ready in one iteration of the event loop. To force
+this, bytes are put into the kernel's buffers by calls that do not wait, and the director's timer is run
+directly. All pairs: `docs/design/crossings.md`.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 from test_platform_sockets import (
     SMALL_BUFFER,
     Scene,
-    asks_more,
-    deafen,
-    deafened,
-    held,
+    client_connections,
+    connect_unreading_viewer,
     name,
-    play,
     process,
+    run_scenario,
     scene,
+    send_more,
+    stop_reading,
     unsent,
 )
 
@@ -48,12 +49,12 @@
 
 
 def push(viewer: Viewer, data: bytes) -> None:
-    """Into the machine's buffers at once, not by the loop."""
+    """Write into the kernel's buffers at once, not through the loop."""
     assert os.write(viewer.writer.get_extra_info("socket").fileno(), data) == len(data)
 
 
-def connected(world: Scene, data: bytes = b"", receive_buffer: int | None = None) -> socket.socket:
-    """A connection in the accept queue, with bytes behind it, before the loop looks.
+def connect_unaccepted(world: Scene, data: bytes = b"", receive_buffer: int | None = None) -> socket.socket:
+    """Open a connection that waits in the accept queue, with unread bytes, until the loop runs.
 
     `receive_buffer`: bytes, set before it connects: a window that shrinks later loses acknowledgements.
     """
@@ -67,8 +68,8 @@
     return made
 
 
-async def lines_of(sock: socket.socket, until: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
-    """Messages on a bare socket up to one; all there are where the connection ends first."""
+async def read_messages(sock: socket.socket, until: Callable[[dict[str, Any]], bool]) -> list[dict[str, Any]]:
+    """Return the messages on a plain socket up to the one wanted, or all if the connection closes before."""
     reader, _ = await asyncio.open_connection(sock=sock)
     found: list[dict[str, Any]] = []
     while line := await reader.readline():
@@ -78,16 +79,16 @@
     return found
 
 
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stop need not wait for requests that are still on their way: those of a test are not."""
+def skip_arrival_window(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make a stop not wait for requests under way: a test has none."""
     monkeypatch.setattr(stop, "ARRIVAL_SLACK_MS", -stop.ARRIVAL_WINDOW_MS)
 
 
 # ---- Stop -------------------------------------------------------------------------------------------------
-def test_requests_in_the_machines_buffers_as_a_stop_ends_are_answered(
+def test_requests_in_the_kernels_buffers_at_the_end_of_a_stop_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    at_once(monkeypatch)
+    skip_arrival_window(monkeypatch)
 
     async def test() -> None:
         async with scene(tmp_path) as world:
@@ -96,70 +97,70 @@
             assert await viewer.answer(name(1))
             world.director.stop()
             push(viewer, start_line(name(2)))  # unread
-            queued = connected(world, start_line(name(3)))  # not accepted
-            world.director._tick()  # nothing is owed by what was read
+            queued = connect_unaccepted(world, start_line(name(3)))  # not accepted
+            world.director._tick()  # no work is pending from what was read
             await world.director.ended
             await world.director.close()
             answer = await viewer.answer(name(2))
             assert answer is not None and answer["verb"] == "STARTED"
-            assert [m["verb"] for m in await lines_of(queued, lambda m: True)] == ["STARTED"]
+            assert [m["verb"] for m in await read_messages(queued, lambda m: True)] == ["STARTED"]
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_stop_waits_for_a_viewer_that_reads_slowly(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    at_once(monkeypatch)
+    skip_arrival_window(monkeypatch)
 
     async def test() -> None:
         async with scene(tmp_path) as world:
-            deaf, echo = await deafened(world)
-            deaf.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
+            unreading, echo = await connect_unreading_viewer(world)
+            unreading.writer.write(echo * 20 + start_line(name(2), opts={"left": "60000"}))
             world.director.stop()
             world.director._tick()
-            for _ in range(4 * stop.MIN_QUIET_CHECKS):  # turns of the loop, enough for an end
+            for _ in range(4 * stop.MIN_QUIET_CHECKS):  # iterations of the loop, enough for an exit
                 await asyncio.sleep(0)
             assert unsent(world) and not world.director.ended.done()
-            deaf.reader._transport.resume_reading()  # type: ignore[attr-defined]
-            answer = await deaf.answer(name(1))
+            unreading.reader._transport.resume_reading()  # type: ignore[attr-defined]
+            answer = await unreading.answer(name(1))
             while answer is not None and answer["tag"] == name(1):
-                answer = await deaf.read()
+                answer = await unreading.read()
             assert answer is not None and (answer["tag"], answer["verb"]) == (name(2), "STARTED")
             await world.director.ended
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize(("klass", "cause"), [("paid", 41), ("free", 34)])
-def test_what_has_no_answer_shortly_before_the_kill_gets_one(tmp_path: Path, klass: str, cause: int) -> None:
+def test_open_requests_are_answered_shortly_before_the_kill(tmp_path: Path, klass: str, cause: int) -> None:
     long = settings()["categories"]
     for entry in long:
         entry["deadline_ms"] = 60_000.0
 
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, categories=long) as world:
+        async with scene(tmp_path, servers=1, categories=long) as world:
             viewer = await world.viewer()
-            [box] = world.boxes
-            box.behave = lambda tag, body, writer: True  # never answers
+            [server] = world.servers
+            server.behave = lambda tag, body, writer: True  # never answers
             viewer.send(start_line(name(1), klass, opts={"left": "60000"}))
-            await box.until(lambda: "SETUP" in box.methods(name(1)))
+            await server.until(lambda: "SETUP" in server.methods(name(1)))
             world.director.stop()
             world.director._stop._stop_at -= world.director._stop.killed_after_ms - stop.FINAL_ANSWERS_MS
             world.director._tick()
             answer = await viewer.answer(name(1))
             assert answer is not None and (answer["verb"], answer["rc"]) == ("FINISH", cause)
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             await world.director.ended
             assert not world.director.core.table_sizes()["attempts"]
 
-    play(test)
+    run_scenario(test)
 
 
-def test_told_to_stop_in_the_middle_of_its_start_it_has_taken_nothing_and_ends(tmp_path: Path) -> None:
+def test_a_stop_signal_during_the_start_ends_a_director_without_requests(tmp_path: Path) -> None:
     file, address = tmp_path / "config.json", free_address()
     os.mkfifo(file)
     env = dict(os.environ, BALANCER_CONFIG=str(file))
     director = subprocess.Popen([sys.executable, "-m", "foxlift.platform"], env=env)
-    with open(file, "wb"):  # it opens the file: the process is in its start
+    with open(file, "wb"):  # the process has opened the file, so it is starting
         director.send_signal(signal.SIGTERM)
         assert director.wait(timeout=30) in (0, -signal.SIGTERM)
     host, _, port = address.rpartition(":")
@@ -167,9 +168,11 @@
         socket.create_connection((host, int(port)))
 
 
-def test_told_twice_to_stop_and_to_reload_meanwhile_it_goes_on_until_all_is_answered(tmp_path: Path) -> None:
+def test_a_repeated_stop_signal_and_a_reload_do_not_end_a_director_before_all_is_answered(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        box, feed = await StandInBox().start(), await StandInCoordinator().start()
+        server, coordinator = await StandInBox().start(), await StandInCoordinator().start()
         later, address = await StandInCoordinator().start(), free_address()
         out: list[tuple[str, bytes, asyncio.StreamWriter]] = []
 
@@ -177,15 +180,15 @@
             out.append((tag, body, writer))
             return True
 
-        box.behave = hold
-        members = [member(1, box.address)]
-        director = process(tmp_path, config(members, feed.address, listen=address))
+        server.behave = hold
+        members = [member(1, server.address)]
+        director = process(tmp_path, config(members, coordinator.address, listen=address))
         assert director.stderr is not None
         loop = asyncio.get_running_loop()
         assert b"serving" in await loop.run_in_executor(None, director.stderr.readline)
         viewer = await Viewer.connect(address)
         viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
-        await box.until(lambda: bool(out))
+        await server.until(lambda: bool(out))
         director.send_signal(signal.SIGTERM)
         assert b"stopping" in await loop.run_in_executor(None, director.stderr.readline)
         director.send_signal(signal.SIGTERM)
@@ -196,7 +199,7 @@
         writer.write(rtsp_answer(200, tag, b"box\r\n" + body))
         answer = await viewer.answer(tag)
         assert answer is not None and answer["verb"] == "STARTED"
-        # a reload that comes at any moment of the end is no end of its own
+        # a reload at any moment of the stop must not kill the process
         while director.poll() is None:
             director.send_signal(signal.SIGHUP)
             await asyncio.sleep(0)
@@ -204,26 +207,26 @@
         assert director.returncode == 0 and b"exception" not in text and b"ended: asked 1" in text
         assert text.count(b"stopping") == 0
         director.stderr.close()
-        feed.stop()
+        coordinator.stop()
         later.stop()
-        await box.stop()
+        await server.stop()
 
-    play(test)
+    run_scenario(test)
 
 
-# ---- A client that left while it waited -------------------------------------------------------------------
+# ---- A client that left while its request waited ----------------------------------------------------------
 class Leaver:
-    """A viewer on a bare socket: what it does has happened when the call returns."""
+    """A viewer on a plain socket: its actions are complete when a call returns."""
 
     def __init__(self, world: Scene, receive_buffer: int | None = None) -> None:
-        self.sock = connected(world, receive_buffer=receive_buffer)
+        self.sock = connect_unaccepted(world, receive_buffer=receive_buffer)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def leave(self, how: str) -> None:
         match how:
-            case "take-back":
+            case "cancel":
                 self.send(finish_line(name(1)))
             case "end of stream":
                 self.sock.shutdown(socket.SHUT_WR)
@@ -234,12 +237,12 @@
                 self.sock.close()
 
 
-WAYS_TO_LEAVE = ["take-back", "end of stream", "close", "reset"]
+WAYS_TO_LEAVE = ["cancel", "end of stream", "close", "reset"]
 left_by = pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 
 
-def connects_late(world: Scene) -> asyncio.Event:
-    """Connections to boxes are tried only once the event is set."""
+def delay_connects(world: Scene) -> asyncio.Event:
+    """Delay connecting to servers until the event is set."""
     opened, connect = asyncio.Event(), world.director.servers._connect
 
     async def late(node: int, conn: int, address: Any) -> None:
@@ -250,16 +253,16 @@
     return opened
 
 
-async def fill(world: Scene, deaf: Viewer) -> None:
-    """A viewer that does not read, with so much unsent that it would not be read from."""
-    echo = await deafen(world, deaf)
-    [connection] = held(world)
+async def fill(world: Scene, unreading: Viewer) -> None:
+    """Leave so much unsent to the viewer that reading from it would be paused."""
+    echo = await stop_reading(world, unreading)
+    [connection] = client_connections(world)
     while not connection._write_blocked:
-        await asks_more(world, deaf, echo * 4)
+        await send_more(world, unreading, echo * 4)
 
 
-async def served(world: Scene, number: int, left_ms: int = 1000) -> None:
-    """Whoever comes later is served: what was to be sent before it has been sent by then."""
+async def serve_another(world: Scene, number: int, left_ms: int = 1000) -> None:
+    """Start a later session; everything that is sent before it has been sent when this returns."""
     later = await world.viewer()
     later.send(start_line(name(number), opts={"left": str(left_ms)}))
     answer = await later.answer(name(number))
@@ -267,11 +270,11 @@
 
 
 def sent(world: Scene, number: int) -> int:
-    return sum(box.methods(name(number)).count("SETUP") for box in world.boxes)
+    return sum(server.methods(name(number)).count("SETUP") for server in world.servers)
 
 
-def stands_still(world: Scene, first: Callable[[], None]) -> asyncio.Event:
-    """The next bytes of a viewer find the loop busy: what happens meanwhile is ready in one turn."""
+def stall_loop(world: Scene, first: Callable[[], None]) -> asyncio.Event:
+    """Call `first` while the loop reads the next bytes of a viewer: its effects are ready together."""
     done = asyncio.Event()
     read = world.director.client_read
 
@@ -286,9 +289,9 @@
 
 
 @left_by
-def test_left_together_with_the_request_while_the_loop_stood_still(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_together_with_its_request_during_a_stall(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
+        async with scene(tmp_path, servers=1) as world:
             viewer, other = Leaver(world), await world.viewer()
             other.send(start_line(name(8)))
             assert await other.answer(name(8))
@@ -297,22 +300,22 @@
                 viewer.send(start_line(name(1), "paid"))
                 viewer.leave(leave)
 
-            done = stands_still(world, meanwhile)
+            done = stall_loop(world, meanwhile)
             other.send(start_line(name(9)))
             assert await other.answer(name(9)) and done.is_set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
-def test_left_in_the_turn_in_which_another_box_is_tried(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_in_the_iteration_that_tries_another_server(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
             viewer, other = Leaver(world), await world.viewer()
             k = 10
-            while not all(box.writers for box in world.boxes):  # each has a connection that is free
+            while not all(server.writers for server in world.servers):  # each has an idle connection
                 other.send(start_line(name(k), title=name(k)))
                 assert await other.answer(name(k))
                 k += 1
@@ -322,44 +325,44 @@
                 if tag != name(1) or tried:
                     return False
                 tried.append(tag)
-                # the refusal and the leaving lie in the machine's buffers before the director looks again
+                # the refusal and the leaving are in the kernel's buffers before the director reads again
                 assert os.write(writer.get_extra_info("socket").fileno(), rtsp_answer(453, tag))
                 viewer.leave(leave)
                 return True
 
-            for box in world.boxes:
-                box.behave = refuse
+            for server in world.servers:
+                server.behave = refuse
             viewer.send(start_line(name(1)))
             while not tried:
                 await asyncio.sleep(0)
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 1
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
-def test_left_while_the_connection_to_its_box_was_opening(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_while_the_connection_to_its_server_opens(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            loop, open_now = asyncio.get_running_loop(), connects_late(world)
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
+            loop, open_now = asyncio.get_running_loop(), delay_connects(world)
             viewer = Leaver(world)
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
             viewer.leave(leave)
             loop.call_soon(open_now.set)
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
 @left_by
-def test_left_behind_another_on_a_full_box(tmp_path: Path, leave: str) -> None:
+def test_a_client_leaves_while_its_set_up_waits_behind_another(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, sockets=64, limits__max_streams=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1, sockets=64, limits__max_streams=1) as world:
+            [server] = world.servers
             world.director.servers.pools[1].max_connections = 1
             out: list[tuple[bytes, asyncio.StreamWriter]] = []
 
@@ -368,77 +371,78 @@
                     out.append((body, writer))
                 return tag == name(7)
 
-            box.behave = hold
+            server.behave = hold
             first, viewer = await world.viewer(), Leaver(world)
             first.send(start_line(name(7), opts={"left": "60000"}))
-            await box.until(lambda: bool(out))
+            await server.until(lambda: bool(out))
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.pools[1].waiting:
                 await asyncio.sleep(0)
             viewer.leave(leave)
             [(body, writer)] = out
             os.write(writer.get_extra_info("socket").fileno(), rtsp_answer(200, name(7), b"box\r\n" + body))
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
 
-    play(test)
+    run_scenario(test)
 
 
-@pytest.mark.parametrize("leave", ["take-back", "end of stream"])
-def test_left_while_its_answers_were_not_read(tmp_path: Path, leave: str) -> None:
+@pytest.mark.parametrize("leave", ["cancel", "end of stream"])
+def test_a_client_leaves_with_unread_answers(tmp_path: Path, leave: str) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            open_now = connects_late(world)
-            deaf = await world.viewer(SMALL_BUFFER)
-            deaf.send(start_line(name(1), "paid", opts={"left": "60000"}))
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
+            open_now = delay_connects(world)
+            unreading = await world.viewer(SMALL_BUFFER)
+            unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
-            await fill(world, deaf)
-            if leave == "take-back":
-                push(deaf, finish_line(name(1)))
+            await fill(world, unreading)
+            if leave == "cancel":
+                push(unreading, finish_line(name(1)))
             else:
-                with socket.socket(fileno=os.dup(deaf.writer.get_extra_info("socket").fileno())) as far:
+                with socket.socket(fileno=os.dup(unreading.writer.get_extra_info("socket").fileno())) as far:
                     far.shutdown(socket.SHUT_WR)
-            [opening] = held(world)
+            [opening] = client_connections(world)
             while world.director.core.open_requests(opening.number):
                 await asyncio.sleep(0)
-            counts = world.director.core.counts  # it was heard, and not answered or shut in the end
+            # its message was received; it was neither answered nor closed
+            counts = world.director.core.counts
             assert counts["given up"] + counts["left with its connection"] == 1
             assert world.director.count["viewer overdue"] == 0
             open_now.set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_connection_that_is_closed_for_its_noise_takes_its_waiting_requests_with_it(tmp_path: Path) -> None:
+def test_a_connection_closed_for_invalid_bytes_withdraws_its_waiting_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__connect_timeout_ms=20_000.0) as world:
-            open_now = connects_late(world)
-            deaf = await world.viewer(SMALL_BUFFER)
-            deaf.send(start_line(name(1), "paid", opts={"left": "60000"}))
+        async with scene(tmp_path, servers=1, limits__connect_timeout_ms=20_000.0) as world:
+            open_now = delay_connects(world)
+            unreading = await world.viewer(SMALL_BUFFER)
+            unreading.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not world.director.servers.opening:
                 await asyncio.sleep(0)
-            await fill(world, deaf)  # so its connection lasts past its close, for what is unsent
-            push(deaf, b"noise\n")
+            await fill(world, unreading)  # so its connection outlasts its close because of unsent bytes
+            push(unreading, b"noise\n")
             while world.director.core.unanswered:
                 await asyncio.sleep(0)
-            assert held(world)
+            assert client_connections(world)
             open_now.set()
-            await served(world, 2)
+            await serve_another(world, 2)
             assert sent(world, 1) == 0
-            deaf.writer.transport.abort()
+            unreading.writer.transport.abort()
 
-    play(test)
+    run_scenario(test)
 
 
-# ---- Boxes ------------------------------------------------------------------------------------------------
-def test_a_set_up_handed_to_a_connection_that_its_box_closes_leaves_on_another(tmp_path: Path) -> None:
+# ---- Servers ----------------------------------------------------------------------------------------------
+def test_a_set_up_assigned_to_a_connection_that_the_server_closes_is_sent_on_another(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1, limits__max_streams=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1, limits__max_streams=1) as world:
+            [server] = world.servers
             world.director.servers.pools[1].max_connections = 1
             out: list[tuple[bytes, asyncio.StreamWriter]] = []
 
@@ -447,31 +451,31 @@
                     out.append((body, writer))
                 return tag == name(7)
 
-            box.behave = hold
+            server.behave = hold
             viewer = await world.viewer()
             viewer.send(start_line(name(7), opts={"left": "60000"}))
-            await box.until(lambda: bool(out))
+            await server.until(lambda: bool(out))
             for k in (1, 2, 3):
                 viewer.send(start_line(name(k), "paid", opts={"left": "60000"}))
             while len(world.director.servers.pools[1].waiting) < 3:
                 await asyncio.sleep(0)
             [(body, writer)] = out
-            # the answer frees the connection for the next set-up, and its end lies right behind it
+            # the answer frees the connection for the next set-up, and its end of stream follows at once
             far = writer.get_extra_info("socket")
             os.write(far.fileno(), rtsp_answer(200, name(7), b"box\r\n" + body))
             with socket.socket(fileno=os.dup(far.fileno())) as end:
                 end.shutdown(socket.SHUT_WR)
-            told = {(m["tag"], m["verb"]) for m in [await viewer.read() for _ in range(4)] if m}
-            assert told == {(name(k), "STARTED") for k in (7, 1, 2, 3)}
+            received = {(m["tag"], m["verb"]) for m in [await viewer.read() for _ in range(4)] if m}
+            assert received == {(name(k), "STARTED") for k in (7, 1, 2, 3)}
             assert [sent(world, k) for k in (1, 2, 3)] == [1, 1, 1]
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_release_owed_to_a_box_leaves_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
+def test_a_release_to_a_server_is_sent_after_the_connection_it_waited_for_has_failed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            [box] = world.boxes
+        async with scene(tmp_path, servers=1) as world:
+            [server] = world.servers
             director, loop = world.director, asyncio.get_running_loop()
             viewer = await world.viewer()
             viewer.send(start_line(name(1)))
@@ -490,35 +494,35 @@
                     await connect(node, conn, address)
 
             director.servers._connect = at_will  # type: ignore[method-assign]
-            for writer in box.writers:
+            for writer in server.writers:
                 writer.transport.abort()
             while not tries:
                 await asyncio.sleep(0)
-            viewer.send(finish_line(name(1), 16))  # while the connection for it is opening
+            viewer.send(finish_line(name(1), 16))  # while a connection to send it on opens
             while not director.servers.unsent:
                 await asyncio.sleep(0)
             tries[0].set_exception(TimeoutError())
             while len(tries) < 2:
                 await asyncio.sleep(0)
             tries[1].set_result(None)
-            await box.until(lambda: "TEARDOWN" in box.methods(name(1)))
+            await server.until(lambda: "TEARDOWN" in server.methods(name(1)))
             assert not director.servers.unsent
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_box_that_is_listed_again_after_it_was_gone_is_served_at_its_new_address(tmp_path: Path) -> None:
+def test_a_removed_server_that_is_relisted_is_used_at_its_new_address(tmp_path: Path) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            await world.feed.connected.wait()
+        async with scene(tmp_path, servers=1) as world:
+            await world.coordinator.connected.wait()
             viewer = await world.viewer()
             viewer.send(start_line(name(1)))
             assert await viewer.answer(name(1))
             other = await StandInBox().start()
-            world.boxes.append(other)
-            # gone and back in one read, before its line is dropped: its session keeps that
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=2))
-            world.feed.tell(3, 2, record(1, other.address))
+            world.servers.append(other)
+            # removed and relisted in one read, before its pool is dropped, since it has a session
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=2))
+            world.coordinator.tell(3, 2, record(1, other.address))
             while world.director.discovery.watch.number < 3:
                 await asyncio.sleep(0)
             viewer.send(finish_line(name(1)))
@@ -529,21 +533,21 @@
                 assert answer is not None and answer["verb"] == "STARTED"
                 assert "SETUP" in other.methods(name(k))
 
-    play(test)
+    run_scenario(test)
 
 
-def test_what_connects_to_a_gone_box_is_given_up_before_another_answers_at_its_address(
+def test_connecting_to_a_removed_server_is_cancelled_before_another_answers_at_its_address(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=1) as world:
-            await world.feed.connected.wait()
-            director, opened = world.director, connects_late(world)
+        async with scene(tmp_path, servers=1) as world:
+            await world.coordinator.connected.wait()
+            director, opened = world.director, delay_connects(world)
             viewer = await world.viewer()
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             while not director.servers.opening:
                 await asyncio.sleep(0)
-            world.feed.tell(2, 2, record(2, world.boxes[0].address))  # box 2 at the address of box 1
+            world.coordinator.tell(2, 2, record(2, world.servers[0].address))  # box 2 at the address of box 1
             answer = asyncio.ensure_future(viewer.answer(name(1)))
             while not any(node == 2 for node, _ in director.servers.opening):
                 await asyncio.sleep(0)
@@ -553,4 +557,4 @@
             assert told is not None and told["verb"] == "STARTED"
             assert sent(world, 1) == 1 and {node for node, _ in director.servers.connections} == {2}
 
-    play(test)
+    run_scenario(test)
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -1,4 +1,4 @@
-"""Connections to boxes, the coordinator's feed, viewers' connections and the stop, without sockets."""
+"""Decision modules of the platform without sockets: pools, discovery watch, admission, stop, releases."""
 
 from __future__ import annotations
 
@@ -20,173 +20,174 @@
 HERE, THERE = Address("10.0.0.1", 1), Address("10.0.0.2", 2)
 
 
-def line(most: int = 4, streams: int = 1000) -> server_pool.ServerPool:
+def make_pool(most: int = 4, streams: int = 1000) -> server_pool.ServerPool:
     return server_pool.ServerPool(250.0, 30000.0, most, streams)
 
 
-def kinds(actions: list[server_pool.Action]) -> list[str]:
+def action_names(actions: list[server_pool.Action]) -> list[str]:
     return [type(action).__name__ for action in actions]
 
 
-# ---- Lines ------------------------------------------------------------------------------------------------
-def test_a_set_up_leaves_alone_on_its_connection_while_there_is_room() -> None:
-    box = line(2)
-    assert box.handle(0, server_pool.SetupQueued(1)) == [server_pool.OpenConnection(1, 250.0)]
-    assert box.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
-    assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
-    assert box.handle(1, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 2)]
-    assert box.handle(2, server_pool.SetupQueued(3)) == [
-        server_pool.UseConnection(1, 3)
-    ]  # no room for more: shared
+# ---- Server pools -----------------------------------------------------------------------------------------
+def test_a_set_up_has_its_connection_to_itself_while_more_may_be_opened() -> None:
+    pool = make_pool(2)
+    assert pool.handle(0, server_pool.SetupQueued(1)) == [server_pool.OpenConnection(1, 250.0)]
+    assert pool.handle(0, server_pool.SetupQueued(2)) == [server_pool.OpenConnection(2, 250.0)]
+    assert pool.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
+    assert pool.handle(1, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 2)]
+    # no more may be opened: shared
+    assert pool.handle(2, server_pool.SetupQueued(3)) == [server_pool.UseConnection(1, 3)]
     for conn in (1, 1, 2):
-        box.handle(3, server_pool.SlotReleased(conn))
-    assert kinds(box.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]  # idle ones are used again
+        pool.handle(3, server_pool.SlotReleased(conn))
+    # idle ones are reused
+    assert action_names(pool.handle(4, server_pool.SetupQueued(4))) == ["UseConnection"]
 
 
 def test_a_connection_that_is_not_up_in_time_or_refused_fails_one_waiting_set_up() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.SetupQueued(2))
-    assert box.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
-    assert box.handle(249, server_pool.Tick()) == []
-    assert box.handle(250, server_pool.Tick()) == [
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.SetupQueued(2))
+    assert pool.handle(10, server_pool.ConnectionLost(1, refused=True)) == [server_pool.SetupUnreachable(1)]
+    assert pool.handle(249, server_pool.Tick()) == []
+    assert pool.handle(250, server_pool.Tick()) == [
         server_pool.CloseConnection(2),
         server_pool.SetupUnreachable(2),
     ]
-    assert box.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
+    assert pool.handle(260, server_pool.ConnectionOpened(2)) == [server_pool.CloseConnection(2)]  # too late
 
 
-def test_a_taken_back_set_up_does_not_leave() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(1, server_pool.SetupCancelled(1))
-    assert box.handle(2, server_pool.ConnectionOpened(1)) == []
+def test_a_cancelled_set_up_is_not_sent() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(1, server_pool.SetupCancelled(1))
+    assert pool.handle(2, server_pool.ConnectionOpened(1)) == []
 
 
-def test_quiet_with_work_out_is_tested_and_given_up() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    assert box.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
-    assert box.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
-    assert kinds(box.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
+def test_a_quiet_connection_with_a_set_up_is_pinged_and_closed() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    assert pool.handle(server_pool.PING_IDLE_MS - 1, server_pool.Tick()) == []
+    assert pool.handle(server_pool.PING_IDLE_MS, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    # may be dead: not used
+    assert action_names(pool.handle(server_pool.PING_IDLE_MS + 1, server_pool.SetupQueued(2))) == [
         "OpenConnection"
-    ]  # perhaps dead: not used
+    ]
     after = server_pool.PING_IDLE_MS + server_pool.PING_TIMEOUT_MS
-    assert server_pool.CloseConnection(1) in box.handle(after, server_pool.Tick())
-
-
-def test_a_test_that_is_passed_keeps_the_connection() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(1000, server_pool.Tick())
-    box.handle(1001, server_pool.DataReceived(1))
-    assert box.handle(1800, server_pool.Tick()) == []
-    assert box.latest_up == 1
-
-
-def test_a_broken_connection_proves_nothing_and_a_refused_one_that_the_process_is_gone() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
-    assert box.handle(5, server_pool.SessionsChanged(1)) == []
-    assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
-    assert box.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
-    assert box.handle(20, server_pool.ConnectionLost(2)) == [server_pool.OpenConnection(3, 250.0)]
-    assert box.handle(21, server_pool.ConnectionLost(3, refused=True)) == [
+    assert server_pool.CloseConnection(1) in pool.handle(after, server_pool.Tick())
+
+
+def test_an_answered_ping_keeps_the_connection() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(1000, server_pool.Tick())
+    pool.handle(1001, server_pool.DataReceived(1))
+    assert pool.handle(1800, server_pool.Tick()) == []
+    assert pool.latest_up == 1
+
+
+def test_a_closed_connection_loses_no_sessions_and_a_refused_one_does() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(5, server_pool.SlotReleased(1))
+    assert pool.handle(5, server_pool.SessionsChanged(1)) == []
+    assert pool.handle(10, server_pool.ConnectionLost(1)) == [server_pool.OpenConnection(2, 250.0)]
+    assert pool.handle(11, server_pool.ConnectionOpened(2)) == [server_pool.PingConnection(2)]
+    assert pool.handle(20, server_pool.ConnectionLost(2)) == [server_pool.OpenConnection(3, 250.0)]
+    assert pool.handle(21, server_pool.ConnectionLost(3, refused=True)) == [
         server_pool.SessionsLost("refused")
     ]
 
 
-def test_a_refusal_beside_a_connection_that_is_up_is_no_death() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.SetupQueued(2))
-    assert box.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
+def test_a_refused_connection_beside_an_open_one_loses_no_sessions() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.SetupQueued(2))
+    assert pool.handle(2, server_pool.ConnectionLost(2, refused=True)) == [server_pool.SetupUnreachable(2)]
 
 
-def test_silence_ends_what_played_there_within_the_time_owed() -> None:
-    box = line()
-    box.handle(0, server_pool.SessionsChanged(3))
-    box.handle(0, server_pool.ConnectionOpened(1))
+def test_silence_ends_sessions_within_the_notification_deadline() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SessionsChanged(3))
+    pool.handle(0, server_pool.ConnectionOpened(1))
     lost = None
     now = 0.0
     while lost is None and now < 20000:
         now += 100
-        for action in box.handle(now, server_pool.Tick()):
+        for action in pool.handle(now, server_pool.Tick()):
             if isinstance(action, server_pool.SessionsLost):
                 lost = now
     assert lost is not None and lost <= 6000
 
 
-def test_a_box_off_the_list_is_not_reached_again() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(1))
-    box.handle(0, server_pool.ConnectionOpened(1))
-    box.handle(5, server_pool.SlotReleased(1))
-    box.handle(5, server_pool.SessionsChanged(1))
-    box.handle(6, server_pool.ServerRemoved())
-    assert box.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
-    box.handle(10, server_pool.SessionsChanged(0))
-    assert box.unused
+def test_a_removed_server_is_not_connected_to_again() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(1))
+    pool.handle(0, server_pool.ConnectionOpened(1))
+    pool.handle(5, server_pool.SlotReleased(1))
+    pool.handle(5, server_pool.SessionsChanged(1))
+    pool.handle(6, server_pool.ServerRemoved())
+    assert pool.handle(10, server_pool.ConnectionLost(1)) == [server_pool.SessionsLost("gone")]
+    pool.handle(10, server_pool.SessionsChanged(0))
+    assert pool.unused
 
 
-def test_one_connection_is_kept_to_hear_of_sessions_though_all_were_heard_at_once() -> None:
-    box = line(8)
+def test_one_connection_is_kept_for_sessions_though_all_received_at_once() -> None:
+    pool = make_pool(8)
     for k in (1, 2, 3):
-        box.handle(0, server_pool.SetupQueued(k))
+        pool.handle(0, server_pool.SetupQueued(k))
     for k in (1, 2, 3):
-        box.handle(0, server_pool.ConnectionOpened(k))
+        pool.handle(0, server_pool.ConnectionOpened(k))
     for k in (1, 2, 3):
-        box.handle(1, server_pool.DataReceived(k))
-        box.handle(1, server_pool.SlotReleased(k))
-    box.handle(1, server_pool.SessionsChanged(3))
-    assert kinds(box.handle(1000, server_pool.Tick())) == ["PingConnection"]
-    box.handle(1001, server_pool.DataReceived(3))
-    assert kinds(box.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
-    assert len(box.connections) == 1
-
-
-def test_idle_connections_are_retired_before_the_box_closes_them_and_not_sooner() -> None:
-    """A release may be on its way: what the box has still to say is heard, so nothing is cut off."""
-    box = line(8)
+        pool.handle(1, server_pool.DataReceived(k))
+        pool.handle(1, server_pool.SlotReleased(k))
+    pool.handle(1, server_pool.SessionsChanged(3))
+    assert action_names(pool.handle(1000, server_pool.Tick())) == ["PingConnection"]
+    pool.handle(1001, server_pool.DataReceived(3))
+    assert action_names(pool.handle(18100, server_pool.Tick())).count("RetireConnection") == 2
+    assert len(pool.connections) == 1
+
+
+def test_idle_connections_are_retired_before_the_server_closes_them_and_not_sooner() -> None:
+    """Retired connections are still read, since a release of the server may be under way."""
+    pool = make_pool(8)
     for k in range(1, 6):
-        box.handle(0, server_pool.SetupQueued(k))
+        pool.handle(0, server_pool.SetupQueued(k))
     for k in range(1, 6):
-        box.handle(0, server_pool.ConnectionOpened(k))
+        pool.handle(0, server_pool.ConnectionOpened(k))
     for k in range(1, 6):
-        box.handle(1, server_pool.SlotReleased(k))
-    assert box.handle(17000, server_pool.Tick()) == []
-    assert kinds(box.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
-    assert not box.connections
+        pool.handle(1, server_pool.SlotReleased(k))
+    assert pool.handle(17000, server_pool.Tick()) == []
+    assert action_names(pool.handle(18001, server_pool.Tick())) == ["RetireConnection"] * 5
+    assert not pool.connections
 
 
 @pytest.mark.parametrize("idle_ms", [500.0, 1500.0, 30000.0])
-def test_a_connection_that_hears_of_sessions_is_tested_before_the_box_closes_it_as_idle(
+def test_a_connection_kept_for_sessions_is_pinged_before_the_server_closes_it_as_idle(
     idle_ms: float,
 ) -> None:
-    box = server_pool.ServerPool(250.0, idle_ms, 4, 1)
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.DataReceived(1))
+    pool = server_pool.ServerPool(250.0, idle_ms, 4, 1)
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.DataReceived(1))
     used, tests = 2.0, 0
     for now in range(100, 20_000, 100):
         assert now - used < idle_ms, "closed by the box as idle"
-        for action in box.handle(now, server_pool.Tick()):
-            assert isinstance(action, server_pool.PingConnection)  # and never given up or opened anew
+        for action in pool.handle(now, server_pool.Tick()):
+            assert isinstance(action, server_pool.PingConnection)  # and never closed or reopened
             used, tests = now, tests + 1
-            box.handle(now + 1, server_pool.DataReceived(1))
+            pool.handle(now + 1, server_pool.DataReceived(1))
     assert tests <= 20_000 / min(idle_ms * server_pool.MAX_IDLE_RATIO, server_pool.PING_IDLE_MS)
 
 
 @given(st.lists(st.tuples(st.sampled_from("wurfdhstgk"), st.integers(1, 6)), max_size=120))
-def test_a_line_never_loses_a_set_up_nor_uses_a_dead_connection(steps: list[tuple[str, int]]) -> None:
-    """Each wanted set-up is used, unreached, taken back or waits; only connections that are up are used."""
-    box = line(3)
+def test_a_pool_never_loses_a_set_up_nor_uses_a_dead_connection(steps: list[tuple[str, int]]) -> None:
+    """Each set-up is sent, failed, cancelled or waiting; only connections that are up are used."""
+    pool = make_pool(3)
     up: set[int] = set()
     opening: set[int] = set()
     wants: set[int] = set()
@@ -214,173 +215,176 @@
             case "w":
                 key += 1
                 wants.add(key)
-                look(box.handle(now, server_pool.SetupQueued(key)))
+                look(pool.handle(now, server_pool.SetupQueued(key)))
             case "u" if opening:
                 conn = min(opening)
                 opening.discard(conn)
                 up.add(conn)
-                look(box.handle(now, server_pool.ConnectionOpened(conn)))
+                look(pool.handle(now, server_pool.ConnectionOpened(conn)))
             case "r" if opening:
                 conn = max(opening)
                 opening.discard(conn)
-                look(box.handle(now, server_pool.ConnectionLost(conn, refused=True)))
+                look(pool.handle(now, server_pool.ConnectionLost(conn, refused=True)))
             case "f" if up:
-                look(box.handle(now, server_pool.SlotReleased(max(up))))
+                look(pool.handle(now, server_pool.SlotReleased(max(up))))
             case "d" if up:
                 conn = min(up)
                 up.discard(conn)
-                look(box.handle(now, server_pool.ConnectionLost(conn)))
+                look(pool.handle(now, server_pool.ConnectionLost(conn)))
             case "h" if up:
-                look(box.handle(now, server_pool.DataReceived(min(up))))
+                look(pool.handle(now, server_pool.DataReceived(min(up))))
             case "s":
-                look(box.handle(now, server_pool.SessionsChanged(n - 1)))
+                look(pool.handle(now, server_pool.SessionsChanged(n - 1)))
             case "t":
                 now += 300.0 * n
-                look(box.handle(now, server_pool.Tick()))
+                look(pool.handle(now, server_pool.Tick()))
             case "g":
-                look(box.handle(now, server_pool.ConnectRequested()))
+                look(pool.handle(now, server_pool.ConnectRequested()))
             case "k" if wants:
                 taken_back = max(wants)
                 wants.discard(taken_back)
-                look(box.handle(now, server_pool.SetupCancelled(taken_back)))
-        assert len(box.connections) <= 3
+                look(pool.handle(now, server_pool.SetupCancelled(taken_back)))
+        assert len(pool.connections) <= 3
     now += 10000
     for _ in range(4):
         now += 300
-        look(box.handle(now, server_pool.Tick()))
+        look(pool.handle(now, server_pool.Tick()))
     if not up:
-        # nothing waits for ever without a connection on its way
-        assert not box.waiting or opening
+        # no set-up waits unless a connection is being opened
+        assert not pool.waiting or opening
 
 
-# ---- Feed -------------------------------------------------------------------------------------------------
-def heard(*data: bytes) -> discovery_watch.FramesReceived:
+# ---- Discovery watch --------------------------------------------------------------------------------------
+def frames_of(*data: bytes) -> discovery_watch.FramesReceived:
     return discovery_watch.FramesReceived(tuple(discovery_watch.FrameReader(2, 2, 4).feed(b"".join(data))))
 
 
-def opened(number: int = 1) -> discovery_watch.DiscoveryWatch:
-    made = discovery_watch.DiscoveryWatch(HERE, number, 5)
-    assert made.start()[0] == discovery_watch.OpenConnection(HERE)
-    ask = made.handle(0, discovery_watch.ConnectionOpened())[0]
+def open_watch(number: int = 1) -> discovery_watch.DiscoveryWatch:
+    watch = discovery_watch.DiscoveryWatch(HERE, number, 5)
+    assert watch.start()[0] == discovery_watch.OpenConnection(HERE)
+    ask = watch.handle(0, discovery_watch.ConnectionOpened())[0]
     assert ask == discovery_watch.RequestUpdates(number.to_bytes(8, "big"))
-    return made
+    return watch
 
 
-def told(actions: list[discovery_watch.Action]) -> list[int]:
+def delivered(actions: list[discovery_watch.Action]) -> list[int]:
     return [action.update.number for action in actions if isinstance(action, discovery_watch.DeliverUpdate)]
 
 
-def later(actions: list[discovery_watch.Action]) -> discovery_watch.StartTimer:
+def timer_of(actions: list[discovery_watch.Action]) -> discovery_watch.StartTimer:
     return [action for action in actions if isinstance(action, discovery_watch.StartTimer)][-1]
 
 
-def test_events_are_told_once_and_in_order() -> None:
-    made = opened()
+def test_updates_are_delivered_once_and_in_order() -> None:
+    watch = open_watch()
     one = frame(2, 2, record(7, "10.0.0.7:5060", 1))
     two = frame(3, 2, record(7, "10.0.0.7:5060", 2))
-    assert told(made.handle(1, heard(one, one, two, one))) == [2, 3]
-    assert told(made.handle(2, heard(frame(1, 1, record(8, "10.0.0.8:5060"))))) == []  # an old list
-    assert told(made.handle(2, heard(frame(9, 1, record(8, "10.0.0.8:5060"))))) == [9]
+    assert delivered(watch.handle(1, frames_of(one, one, two, one))) == [2, 3]
+    assert delivered(watch.handle(2, frames_of(frame(1, 1, record(8, "10.0.0.8:5060"))))) == []  # an old list
+    assert delivered(watch.handle(2, frames_of(frame(9, 1, record(8, "10.0.0.8:5060"))))) == [9]
 
 
-def test_a_gap_is_asked_for_again_from_the_last_event_held() -> None:
-    made = opened()
-    actions = made.handle(1, heard(frame(3, 2, record(7, "10.0.0.7:5060"))))
-    assert told(actions) == [] and discovery_watch.CloseConnection() in actions and made.number == 1
-    [connect, _] = made.handle(30, discovery_watch.TimerExpired(later(actions).timer_id))
+def test_a_gap_is_requested_again_from_the_last_update_received() -> None:
+    watch = open_watch()
+    actions = watch.handle(1, frames_of(frame(3, 2, record(7, "10.0.0.7:5060"))))
+    assert delivered(actions) == [] and discovery_watch.CloseConnection() in actions and watch.number == 1
+    [connect, _] = watch.handle(30, discovery_watch.TimerExpired(timer_of(actions).timer_id))
     assert connect == discovery_watch.OpenConnection(HERE)
-    assert made.handle(31, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+    assert watch.handle(31, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
         (1).to_bytes(8, "big")
     )
 
 
-def test_gaps_that_do_not_close_bring_the_whole_list_for_once() -> None:
-    made = opened()
+def test_repeated_gaps_request_the_full_list_once() -> None:
+    watch = open_watch()
     now = 0.0
     for _ in range(discovery_watch.MAX_MISREADS):
-        actions = made.handle(now, heard(frame(5, 2, record(7, "10.0.0.7:5060"))))
+        actions = watch.handle(now, frames_of(frame(5, 2, record(7, "10.0.0.7:5060"))))
         now += 600
-        made.handle(now, discovery_watch.TimerExpired(later(actions).timer_id))
-        ask = made.handle(now, discovery_watch.ConnectionOpened())[0]
+        watch.handle(now, discovery_watch.TimerExpired(timer_of(actions).timer_id))
+        ask = watch.handle(now, discovery_watch.ConnectionOpened())[0]
     assert ask == discovery_watch.RequestUpdates(bytes(8))
-    assert told(made.handle(now, heard(frame(1, 1, record(7, "10.0.0.7:5060"))))) == [1]
+    assert delivered(watch.handle(now, frames_of(frame(1, 1, record(7, "10.0.0.7:5060"))))) == [1]
 
 
-def test_silence_is_noticed_well_inside_the_time_in_which_events_count_as_told() -> None:
-    made = opened()
-    timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, made._timer_id)
+def test_silence_is_noticed_within_two_seconds() -> None:
+    watch = open_watch()
+    timer = discovery_watch.StartTimer(discovery_watch.SILENCE_TIMEOUT_MS, watch._timer_id)
     now = 0.0
-    for _ in range(5):  # empty frames keep it alive
+    for _ in range(5):  # empty frames keep the watch open
         now += 1000
-        made.handle(now, heard(frame(1, 0)))
+        watch.handle(now, frames_of(frame(1, 0)))
         while timer.delay_ms <= now:
-            again = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
-            timer = discovery_watch.StartTimer(timer.delay_ms + later(again).delay_ms, later(again).timer_id)
-    actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+            again = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+            timer = discovery_watch.StartTimer(
+                timer.delay_ms + timer_of(again).delay_ms, timer_of(again).timer_id
+            )
+    actions = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
     if discovery_watch.CloseConnection() not in actions:
-        timer = discovery_watch.StartTimer(timer.delay_ms + later(actions).delay_ms, later(actions).timer_id)
-        actions = made.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
+        timer = discovery_watch.StartTimer(
+            timer.delay_ms + timer_of(actions).delay_ms, timer_of(actions).timer_id
+        )
+        actions = watch.handle(timer.delay_ms, discovery_watch.TimerExpired(timer.timer_id))
     assert discovery_watch.CloseConnection() in actions and timer.delay_ms - now <= 2000
 
 
-def test_waits_grow_are_bounded_and_differ_between_directors() -> None:
+def test_reconnect_waits_grow_are_bounded_and_differ_between_directors() -> None:
     waits = []
     for seed in (1, 2):
-        made = discovery_watch.DiscoveryWatch(HERE, 1, seed)
-        made.start()
+        watch = discovery_watch.DiscoveryWatch(HERE, 1, seed)
+        watch.start()
         mine = []
         for _ in range(12):
-            actions = made.handle(0, discovery_watch.ConnectionClosed())
-            mine.append(later(actions).delay_ms)
-            made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
+            actions = watch.handle(0, discovery_watch.ConnectionClosed())
+            mine.append(timer_of(actions).delay_ms)
+            watch.handle(0, discovery_watch.TimerExpired(timer_of(actions).timer_id))
         assert max(mine) <= discovery_watch.MAX_BACKOFF_MS * 1.25 and mine[0] < 30
         waits.append(mine)
     assert waits[0] != waits[1]
 
 
-def test_a_connection_that_never_comes_up_is_given_up() -> None:
-    made = discovery_watch.DiscoveryWatch(HERE, 1, 1)
-    timer = later(made.start())
-    assert discovery_watch.CloseConnection() in made.handle(
+def test_a_connection_that_does_not_come_up_is_retried() -> None:
+    watch = discovery_watch.DiscoveryWatch(HERE, 1, 1)
+    timer = timer_of(watch.start())
+    assert discovery_watch.CloseConnection() in watch.handle(
         discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(timer.timer_id)
     )
-    assert made.handle(800, discovery_watch.ConnectionOpened()) == []  # of the one that was dropped
+    assert watch.handle(800, discovery_watch.ConnectionOpened()) == []  # of the connection that was closed
 
 
-def test_a_new_address_is_gone_to_at_once_and_twice_running() -> None:
-    made = opened(4)
-    assert made.handle(1, discovery_watch.AddressChanged(HERE)) == []
+def test_a_new_address_is_connected_to_at_once_and_twice_in_a_row() -> None:
+    watch = open_watch(4)
+    assert watch.handle(1, discovery_watch.AddressChanged(HERE)) == []
     for address in (THERE, HERE):
-        actions = made.handle(1, discovery_watch.AddressChanged(address))
+        actions = watch.handle(1, discovery_watch.AddressChanged(address))
         assert actions[:2] == [discovery_watch.CloseConnection(), discovery_watch.OpenConnection(address)]
-    assert made.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
+    assert watch.handle(2, discovery_watch.ConnectionOpened())[0] == discovery_watch.RequestUpdates(
         (4).to_bytes(8, "big")
     )
-    assert (
-        made.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
-    )  # a timer of the old connection
+    # a timer of the old connection
+    assert watch.handle(discovery_watch.CONNECT_TIMEOUT_MS, discovery_watch.TimerExpired(1)) == []
 
 
-def test_an_unreadable_feed_is_asked_again() -> None:
-    made = opened()
-    assert discovery_watch.CloseConnection() in made.resynchronize()
-    assert made.resynchronize() == []
+def test_an_invalid_frame_causes_a_reconnect() -> None:
+    watch = open_watch()
+    assert discovery_watch.CloseConnection() in watch.resynchronize()
+    assert watch.resynchronize() == []
 
 
 # ---- Connection admission and the stop --------------------------------------------------------------------
-def test_silent_connections_go_first_and_in_time() -> None:
+def test_connections_without_bytes_are_closed_first_and_in_time() -> None:
     connections = ConnectionAdmission(3)
     for conn in (1, 2, 3):
         assert connections.opened(0, conn) is None and connections.surplus(0) == []
     connections.received(1, 1, proven=True, partial=False)
     assert connections.opened(2, 4) is None
-    assert connections.surplus(2) == [2]  # the oldest that has said nothing
+    assert connections.surplus(2) == [2]  # the oldest without bytes
     assert connections.overdue(admission.FIRST_REQUEST_TIMEOUT_MS - 1) == []
     assert connections.overdue(admission.FIRST_REQUEST_TIMEOUT_MS) == [3]
     assert admission.FIRST_REQUEST_TIMEOUT_MS < 3000
 
 
-def test_among_proven_ones_the_longest_quiet_without_a_session_goes() -> None:
+def test_of_proven_connections_the_longest_idle_without_a_session_is_evicted() -> None:
     connections = ConnectionAdmission(2)
     for conn in (1, 2):
         connections.opened(0, conn)
@@ -391,23 +395,25 @@
     connections.received(6, 3, proven=True, partial=False)
     connections.sessions_changed(3, 1)
     connections.opened(7, 4)
-    assert connections.surplus(7) == [4]  # all others hold sessions
+    assert connections.surplus(7) == [4]  # all others have sessions
     connections.sessions_changed(1, -1)
     connections.opened(8, 5)
     assert connections.surplus(8) == [1]
 
 
-def test_a_burst_gives_each_newcomer_anothers_place() -> None:
-    """Hundreds come in one look at the sockets, before the end of the first that was shut is heard."""
+def test_each_connection_of_a_burst_evicts_another() -> None:
+    """Hundreds are accepted in one pass over the sockets, before the first evicted one has closed."""
     connections = ConnectionAdmission(4)
     shut = [connections.opened(0, conn) for conn in range(1, 104)]
-    at_once = 4 + admission.MAX_OVERSHOOT  # until the sockets are looked at
-    assert shut[:at_once] == [None] * at_once and shut[at_once:] == list(range(1, 104 - at_once))
-    assert connections.surplus(0) == list(range(104 - at_once, 100))
+    max_connections = 4 + admission.MAX_OVERSHOOT  # until all sockets are read
+    assert shut[:max_connections] == [None] * max_connections and shut[max_connections:] == list(
+        range(1, 104 - max_connections)
+    )
+    assert connections.surplus(0) == list(range(104 - max_connections, 100))
     assert len(connections.connections) == 4
 
 
-def test_what_makes_no_sense_is_answered_so_often_and_no_more() -> None:
+def test_a_connection_is_closed_after_the_maximum_of_invalid_messages() -> None:
     connections = ConnectionAdmission(3)
     connections.opened(0, 1)
     close_after = [connections.record_protocol_error(1) for _ in range(admission.MAX_PROTOCOL_ERRORS)]
@@ -415,25 +421,25 @@
     assert not connections.record_protocol_error(1) and not connections.record_protocol_error(7)
 
 
-def test_half_a_message_is_waited_for_only_so_long() -> None:
+def test_a_partial_message_is_closed_after_its_timeout() -> None:
     connections = ConnectionAdmission(9)
     connections.opened(0, 1)
     connections.received(10, 1, proven=True, partial=False)
     connections.received(5000, 1, proven=False, partial=True)
-    connections.received(5900, 1, proven=False, partial=True)  # more of it is not the end of it
+    connections.received(5900, 1, proven=False, partial=True)  # more bytes, still incomplete
     assert connections.overdue(5000 + admission.PARTIAL_MESSAGE_TIMEOUT_MS) == [1]
     connections.received(5950, 1, proven=True, partial=False)
     assert connections.overdue(9000) == []
 
 
-DEADLINES = (1500.0, 60_000.0)  # the longest counts as 3 s
+DEADLINES = (1500.0, 60_000.0)  # the longest is capped at 3 s
 
 
-def looked(at: stop.GracefulStop, now: float, *owed: int) -> list[stop.Step]:
-    """The looks one after another, up to one that waits or ends."""
-    steps = [at.check(now, stop.PendingWork(*owed))]
+def check_repeatedly(shutdown: stop.GracefulStop, now: float, *pending: int) -> list[stop.Step]:
+    """Return the steps of repeated checks up to one that waits or ends."""
+    steps = [shutdown.check(now, stop.PendingWork(*pending))]
     while steps[-1] is stop.Step.CHECK:
-        steps.append(at.check(now, stop.PendingWork(*owed)))
+        steps.append(shutdown.check(now, stop.PendingWork(*pending)))
     return steps
 
 
@@ -441,47 +447,46 @@
     ("waited", "unanswered", "ends"), [(600, 0, False), (949, 0, False), (950, 1, False), (950, 0, True)]
 )
 def test_a_stop_waits_for_late_requests_and_for_answers(waited: float, unanswered: int, ends: bool) -> None:
-    at = stop.GracefulStop(DEADLINES)
-    assert at.begin(1000)
-    assert (looked(at, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
-    assert not at.begin(1000 + waited)  # told twice is told once
-
-
-def test_a_stop_looks_at_the_sockets_again_and_stays_for_what_it_finds() -> None:
-    at = stop.GracefulStop(DEADLINES)
-    at.begin(0)
-    assert at.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
-    for heard in (8, 9, 10, 11, 12, 13):  # something comes at each look
-        assert at.check(1000, stop.PendingWork(0, 0, heard)) is stop.Step.CHECK
-    assert at.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT  # and one of them was a request
-    assert at.state is stop.State.DRAINING
-    steps = looked(at, 1100, 0, 0, 15)
-    assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [
-        stop.Step.END
-    ]  # the first has news of a read
-
-
-def test_a_stop_waits_for_what_is_written_to_be_taken_and_never_past_the_kill() -> None:
-    at = stop.GracefulStop(DEADLINES)
-    at.begin(0)
-    assert at.killed_after_ms == 3700
-    assert looked(at, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
-    assert looked(at, 3500, 2, 90, 7) == [stop.Step.ANSWER]
-    assert looked(at, 3500, 0, 90, 7) == [stop.Step.WAIT]
-    assert looked(at, 3600, 0, 90, 8)[-1] is stop.Step.END
+    shutdown = stop.GracefulStop(DEADLINES)
+    assert shutdown.begin(1000)
+    assert (check_repeatedly(shutdown, 1000 + waited, unanswered, 0, 7)[-1] is stop.Step.END) is ends
+    assert not shutdown.begin(1000 + waited)  # a repeated signal is ignored
+
+
+def test_a_stop_checks_the_sockets_again_and_waits_for_new_requests() -> None:
+    shutdown = stop.GracefulStop(DEADLINES)
+    shutdown.begin(0)
+    assert shutdown.check(1000, stop.PendingWork(0, 0, 7)) is stop.Step.CHECK
+    for received in (8, 9, 10, 11, 12, 13):  # new input at each check
+        assert shutdown.check(1000, stop.PendingWork(0, 0, received)) is stop.Step.CHECK
+    # one of the inputs was a request
+    assert shutdown.check(1001, stop.PendingWork(1, 0, 14)) is stop.Step.WAIT
+    assert shutdown.state is stop.State.DRAINING
+    steps = check_repeatedly(shutdown, 1100, 0, 0, 15)
+    assert steps == [stop.Step.CHECK] * stop.MIN_QUIET_CHECKS + [stop.Step.END]  # the first sees new input
+
+
+def test_a_stop_waits_for_unsent_bytes_but_never_past_the_kill() -> None:
+    shutdown = stop.GracefulStop(DEADLINES)
+    shutdown.begin(0)
+    assert shutdown.killed_after_ms == 3700
+    assert check_repeatedly(shutdown, 3500 - 1, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(shutdown, 3500, 2, 90, 7) == [stop.Step.ANSWER]
+    assert check_repeatedly(shutdown, 3500, 0, 90, 7) == [stop.Step.WAIT]
+    assert check_repeatedly(shutdown, 3600, 0, 90, 8)[-1] is stop.Step.END
 
 
 @pytest.mark.parametrize("deadline", [100.0, 900.0, 3000.0, 60_000.0])
-def test_a_stop_ends_before_the_kill_whatever_the_settings_deadlines_and_whatever_comes(
+def test_a_stop_ends_before_the_kill_for_all_deadlines_and_any_input(
     deadline: float,
 ) -> None:
-    at = stop.GracefulStop([deadline, 50.0])
-    at.begin(0)
-    now, heard = 0.0, 0
-    while at.state is not stop.State.ENDED:
-        now, heard = now + 100, heard + 1  # a flood that never ends and a viewer that never reads
+    shutdown = stop.GracefulStop([deadline, 50.0])
+    shutdown.begin(0)
+    now, received = 0.0, 0
+    while shutdown.state is not stop.State.ENDED:
+        now, received = now + 100, received + 1  # endless input and a viewer that never reads
         unanswered = 1
-        while (step := at.check(now, stop.PendingWork(unanswered, 70_000, heard))) in (
+        while (step := shutdown.check(now, stop.PendingWork(unanswered, 70_000, received))) in (
             stop.Step.ANSWER,
             stop.Step.CHECK,
         ):
@@ -492,7 +497,7 @@
 
 @pytest.mark.parametrize("limit", [64, 256, 384, 1024])
 @pytest.mark.parametrize("servers", [1, 12, 23, 60])
-def test_descriptors_are_shared_out_with_a_third_for_clients(limit: int, servers: int) -> None:
+def test_descriptor_shares_leave_a_third_for_clients(limit: int, servers: int) -> None:
     clients = descriptors.max_client_connections(limit)
     each = descriptors.max_connections_per_server(limit, servers)
     if servers <= limit * descriptors.SERVER_RATIO:
@@ -500,96 +505,95 @@
     assert each >= 1 and (limit < 256 or clients >= limit / 3)
 
 
-def test_what_lay_unread_while_the_loop_was_busy_is_known() -> None:
+def test_the_delay_of_bytes_unread_while_the_loop_was_busy_is_estimated() -> None:
     lag = EventLoopLag()
-    assert lag.work_begins(1000.0) == 0.0  # the first: nothing is known of before
+    assert lag.work_begins(1000.0) == 0.0  # the first iteration: no earlier poll is known
     lag.work_ends(1000.3)
     assert lag.work_begins(1050.0) == 0.0
     lag.work_ends(1130.0)  # 80 ms of work
-    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # may have come just after the look before
+    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # may have arrived just after the previous poll
     lag.work_ends(1130.4)
-    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # of the same look
-    assert lag.work_begins(1131.0) == 0.0  # within the clock's grain
+    assert lag.work_begins(1130.2) == pytest.approx(80.2)  # of the same poll
+    assert lag.work_begins(1131.0) == 0.0  # within the clock's resolution
     lag.work_ends(1131.1)
     assert lag.work_begins(1700.0) == 0.0  # idle for long, then woken
 
 
-def test_set_ups_beyond_the_settings_streams_wait_for_room() -> None:
-    box = line(most=1, streams=2)
+def test_set_ups_beyond_the_maximum_of_streams_wait() -> None:
+    pool = make_pool(most=1, streams=2)
     for key in (1, 2, 3):
-        box.handle(0, server_pool.SetupQueued(key))
-    assert box.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
-    assert box.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
-    assert box.handle(3, server_pool.SetupQueued(5)) == [] and box.in_flight == 2
-    assert box.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
-    assert [key for key, _ in box.waiting] == [3, 5]
+        pool.handle(0, server_pool.SetupQueued(key))
+    assert pool.handle(1, server_pool.ConnectionOpened(1)) == [server_pool.UseConnection(1, 1)]
+    assert pool.handle(2, server_pool.SetupQueued(4)) == [server_pool.UseConnection(1, 4)]
+    assert pool.handle(3, server_pool.SetupQueued(5)) == [] and pool.in_flight == 2
+    assert pool.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 2)]
+    assert [key for key, _ in pool.waiting] == [3, 5]
 
 
-def test_a_coordinator_that_leaves_gaps_for_good_is_not_asked_without_pause() -> None:
-    made = opened()
+def test_permanent_gaps_cause_reconnects_with_growing_waits() -> None:
+    watch = open_watch()
     waits = []
     for _ in range(12):
-        actions = made.handle(0, heard(frame(9, 2, record(7, "10.0.0.7:5060"))))
-        waits.append(later(actions).delay_ms)
-        made.handle(0, discovery_watch.TimerExpired(later(actions).timer_id))
-        made.handle(0, discovery_watch.ConnectionOpened())
+        actions = watch.handle(0, frames_of(frame(9, 2, record(7, "10.0.0.7:5060"))))
+        waits.append(timer_of(actions).delay_ms)
+        watch.handle(0, discovery_watch.TimerExpired(timer_of(actions).timer_id))
+        watch.handle(0, discovery_watch.ConnectionOpened())
     assert waits[-1] > 0.7 * discovery_watch.MAX_BACKOFF_MS
 
 
 # ---- Releases ---------------------------------------------------------------------------------------------
-def test_a_release_goes_to_its_own_connection_else_to_a_served_one_else_it_waits() -> None:
-    owed = ViewerReleases()
-    assert owed.add(0, 1, "a", b"A") == []  # nobody is there
-    assert owed.session_requested(10, 2) == [Write(2, b"A")]
-    assert owed.add(20, 3, "b", b"B") == [Write(2, b"B")]
-    owed.session_requested(30, 4)
-    owed.session_started(30, 2)
-    assert owed.add(40, 9, "c", b"C") == [Write(2, b"C")]  # 4 has only asked
-    owed.session_requested(50, 5)
-    assert owed.add(50, 5, "d", b"D") == [Write(5, b"D")]
-
-
-def test_what_was_not_confirmed_when_its_connection_ended_is_written_again() -> None:
-    owed = ViewerReleases()
+def test_a_release_is_written_on_its_own_connection_else_on_one_in_use_else_kept() -> None:
+    releases = ViewerReleases()
+    assert releases.add(0, 1, "a", b"A") == []  # no connection in use
+    assert releases.session_requested(10, 2) == [Write(2, b"A")]
+    assert releases.add(20, 3, "b", b"B") == [Write(2, b"B")]
+    releases.session_requested(30, 4)
+    releases.session_started(30, 2)
+    assert releases.add(40, 9, "c", b"C") == [Write(2, b"C")]  # connection 4 has only requested a session
+    releases.session_requested(50, 5)
+    assert releases.add(50, 5, "d", b"D") == [Write(5, b"D")]
+
+
+def test_a_release_unconfirmed_when_its_connection_closes_is_written_again() -> None:
+    releases = ViewerReleases()
     for conn in (1, 2):
-        owed.session_started(0, conn)
+        releases.session_started(0, conn)
     for tag in "abc":
-        owed.add(1, 1, tag, tag.encode())
-    owed.confirmed(1, "b")
-    owed.confirmed(2, "a")  # another's word does not count
-    assert owed.connection_closed(2, 1) == [Write(2, b"a"), Write(2, b"c")]
-    assert owed.connection_closed(3, 2) == [] and len(owed) == 2  # kept for who comes next
-    assert owed.session_requested(4, 3) == [Write(3, b"a"), Write(3, b"c")]
+        releases.add(1, 1, tag, tag.encode())
+    releases.confirmed(1, "b")
+    releases.confirmed(2, "a")  # a confirmation on another connection is ignored
+    assert releases.connection_closed(2, 1) == [Write(2, b"a"), Write(2, b"c")]
+    assert releases.connection_closed(3, 2) == [] and len(releases) == 2  # kept for the next connection
+    assert releases.session_requested(4, 3) == [Write(3, b"a"), Write(3, b"c")]
     for tag in "ac":
-        owed.confirmed(3, tag)
-    assert len(owed) == 0
+        releases.confirmed(3, tag)
+    assert len(releases) == 0
 
 
-def test_releases_are_kept_no_longer_than_they_are_owed_and_no_more_than_there_is_room_for() -> None:
-    owed = ViewerReleases()
-    owed.add(0, 1, "old", b"old")
-    owed.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
-    assert len(owed) == 2
+def test_releases_are_bounded_in_time_and_number() -> None:
+    releases = ViewerReleases()
+    releases.add(0, 1, "old", b"old")
+    releases.add(viewer_releases.RETENTION_MS, 1, "new", b"new")
+    assert len(releases) == 2
     assert (
-        owed.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
-        and owed.expired == 1
+        releases.session_requested(viewer_releases.RETENTION_MS + 1, 2) == [Write(2, b"new")]
+        and releases.expired == 1
     )
-    assert (
-        owed.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
-    )  # moving on does not make it younger
-    assert len(owed) == 0 and owed.expired == 2
-    owed.session_requested(0, 2)
+    # another connection does not extend the retention
+    assert releases.connection_closed(2 * viewer_releases.RETENTION_MS + 1, 2) == []
+    assert len(releases) == 0 and releases.expired == 2
+    releases.session_requested(0, 2)
     for k in range(3 * viewer_releases.MAX_UNCONFIRMED):
-        owed.add(0, 2, str(k), b"")
-    assert len(owed) == viewer_releases.MAX_UNCONFIRMED
-    owed = ViewerReleases()
+        releases.add(0, 2, str(k), b"")
+    assert len(releases) == viewer_releases.MAX_UNCONFIRMED
+    releases = ViewerReleases()
     for k in range(2 * viewer_releases.MAX_UNSENT):
-        owed.add(0, 1, str(k), b"")
-    assert len(owed) == viewer_releases.MAX_UNSENT
+        releases.add(0, 1, str(k), b"")
+    assert len(releases) == viewer_releases.MAX_UNSENT
 
 
-# ---- Telling the module -----------------------------------------------------------------------------------
-def test_what_an_action_brings_about_waits_its_turn() -> None:
+# ---- Events to the module ---------------------------------------------------------------------------------
+def test_an_event_caused_by_an_action_is_handled_after_the_current_event() -> None:
     order: list[str] = []
 
     class Speaks(Director):
@@ -612,67 +616,66 @@
     ]
 
 
-def test_what_is_owed_to_a_box_opens_a_connection_until_one_is_up_or_the_box_is_gone() -> None:
-    box = line(most=1)
-    assert box.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
-    assert box.handle(10, server_pool.ConnectRequested()) == []  # one is opening
-    assert box.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
-    opened = [
-        now for now in range(300, 20_000, 100) for a in box.handle(now, server_pool.Tick()) if a in OPENS
+def test_an_unsent_message_opens_connections_until_one_is_up_or_the_server_is_gone() -> None:
+    pool = make_pool(most=1)
+    assert pool.handle(0, server_pool.SetupQueued(7)) == [server_pool.OpenConnection(1, 250.0)]
+    assert pool.handle(10, server_pool.ConnectRequested()) == []  # one is being opened
+    assert pool.handle(250, server_pool.ConnectionLost(1)) == [server_pool.SetupUnreachable(7)]
+    opened_at = [
+        now for now in range(300, 20_000, 100) for a in pool.handle(now, server_pool.Tick()) if a in OPENS
     ]
-    assert opened[0] == 300 and len(opened) < 12  # each fails, and waits grow
+    assert opened_at[0] == 300 and len(opened_at) < 12  # each attempt fails, and the waits grow
     assert (
-        box.handle(20_000, server_pool.ConnectionOpened(box._last_conn)) == [] and not box.connect_requested
+        pool.handle(20_000, server_pool.ConnectionOpened(pool._last_conn)) == []
+        and not pool.connect_requested
     )
-    refused = line()
+    refused = make_pool()
     assert refused.handle(0, server_pool.ConnectRequested()) == [server_pool.OpenConnection(1, 250.0)]
-    assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [
-        server_pool.DiscardUnsent()
-    ]  # its process is gone, and its sessions
+    # its process is gone, and with it its sessions
+    assert refused.handle(5, server_pool.ConnectionLost(1, True)) == [server_pool.DiscardUnsent()]
     assert refused.handle(900, server_pool.Tick()) == []
 
 
 OPENS = [server_pool.OpenConnection(k, 250.0) for k in range(1, 40)]
 
 
-def test_a_gone_box_is_not_connected_to_and_one_that_is_back_is() -> None:
-    box = line()
-    box.handle(0, server_pool.SetupQueued(7))
-    assert box.handle(1, server_pool.ServerRemoved()) == [
+def test_a_removed_server_is_not_connected_to_and_a_relisted_one_is() -> None:
+    pool = make_pool()
+    pool.handle(0, server_pool.SetupQueued(7))
+    assert pool.handle(1, server_pool.ServerRemoved()) == [
         server_pool.CloseConnection(1),
         server_pool.SetupUnreachable(7),
     ]
-    box.handle(2, server_pool.ServerListed(False))
-    assert not box.is_removed and box.handle(3, server_pool.SetupQueued(8)) == [
+    pool.handle(2, server_pool.ServerListed(False))
+    assert not pool.is_removed and pool.handle(3, server_pool.SetupQueued(8)) == [
         server_pool.OpenConnection(2, 250.0)
     ]
-    box.handle(4, server_pool.ConnectionOpened(2))
-    box.handle(5, server_pool.SetupQueued(9))
-    box.handle(6, server_pool.ConnectionOpened(3))
-    box.handle(7, server_pool.SlotReleased(3))
-    # at another address now: the idle one goes, the one with a set-up out ends what it has, nothing joins it
-    assert box.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
-    assert box.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
-    box.handle(10, server_pool.SlotReleased(2))
-    assert server_pool.RetireConnection(2) in box.handle(11, server_pool.Tick())
-
-
-def test_a_set_up_that_came_while_the_only_connection_was_tested_leaves_when_the_test_is_passed() -> None:
-    box = line(most=1)
-    box.handle(0, server_pool.SessionsChanged(1))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.DataReceived(1))
-    assert box.handle(1000, server_pool.Tick()) == [server_pool.PingConnection(1)]
+    pool.handle(4, server_pool.ConnectionOpened(2))
+    pool.handle(5, server_pool.SetupQueued(9))
+    pool.handle(6, server_pool.ConnectionOpened(3))
+    pool.handle(7, server_pool.SlotReleased(3))
+    # at another address: the idle connection is retired, the other finishes its set-up and gets no new one
+    assert pool.handle(8, server_pool.ServerListed(True)) == [server_pool.RetireConnection(3)]
+    assert pool.handle(9, server_pool.SetupQueued(10)) == [server_pool.OpenConnection(4, 250.0)]
+    pool.handle(10, server_pool.SlotReleased(2))
+    assert server_pool.RetireConnection(2) in pool.handle(11, server_pool.Tick())
+
+
+def test_a_set_up_queued_while_the_only_connection_is_pinged_is_sent_after_the_answer() -> None:
+    pool = make_pool(most=1)
+    pool.handle(0, server_pool.SessionsChanged(1))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.DataReceived(1))
+    assert pool.handle(1000, server_pool.Tick()) == [server_pool.PingConnection(1)]
     for key in (7, 8):
-        assert (
-            box.handle(1001, server_pool.SetupQueued(key)) == []
-        )  # it may be dead, and there is no room for another
-    assert box.handle(1002, server_pool.DataReceived(1)) == [
+        # it may be dead, and no other may be opened
+        assert pool.handle(1001, server_pool.SetupQueued(key)) == []
+    assert pool.handle(1002, server_pool.DataReceived(1)) == [
         server_pool.UseConnection(1, 7),
         server_pool.UseConnection(1, 8),
     ]
-    assert not box.waiting and box.in_flight == 2
-    narrow = line(most=1, streams=1)
+    assert not pool.waiting and pool.in_flight == 2
+    narrow = make_pool(most=1, streams=1)
     narrow.handle(0, server_pool.SessionsChanged(1))
     narrow.handle(1, server_pool.ConnectionOpened(1))
     assert narrow.connections[1].pinged_at
@@ -682,15 +685,15 @@
     assert narrow.handle(4, server_pool.SlotReleased(1)) == [server_pool.UseConnection(1, 8)]
 
 
-def test_set_ups_that_wait_get_a_connection_when_the_last_one_went_to_an_old_address() -> None:
-    box = line(most=1)
-    box.handle(0, server_pool.SetupQueued(7))
-    box.handle(1, server_pool.ConnectionOpened(1))
-    box.handle(2, server_pool.ServerListed(True))
-    assert box.handle(3, server_pool.SetupQueued(8)) == []
-    assert box.handle(4, server_pool.SlotReleased(1)) == []
-    assert box.handle(100, server_pool.Tick()) == [
+def test_waiting_set_ups_get_a_connection_when_the_last_one_had_a_former_address() -> None:
+    pool = make_pool(most=1)
+    pool.handle(0, server_pool.SetupQueued(7))
+    pool.handle(1, server_pool.ConnectionOpened(1))
+    pool.handle(2, server_pool.ServerListed(True))
+    assert pool.handle(3, server_pool.SetupQueued(8)) == []
+    assert pool.handle(4, server_pool.SlotReleased(1)) == []
+    assert pool.handle(100, server_pool.Tick()) == [
         server_pool.RetireConnection(1),
         server_pool.OpenConnection(2, 250.0),
     ]
-    assert box.handle(101, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 8)]
+    assert pool.handle(101, server_pool.ConnectionOpened(2)) == [server_pool.UseConnection(2, 8)]
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""`run` and `build` of deploy/balancer.toml keep to what the operators' pages allow a director's process."""
+"""`run` and `build` of deploy/balancer.toml do only what the operators' pages allow a director's process."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def run_line() -> str:
-    """The line as the operators start it, but for the environment that `build` makes."""
+    """The start command of the operators, with this environment in place of the one that `build` makes."""
     line: str = DEPLOY["run"]
     assert line.startswith("exec .venv/bin/python ")
     return line.replace(".venv/bin/python", sys.executable)
@@ -45,12 +45,12 @@
         "import ctypes; ctypes.CDLL(None).syscall(426, 0, 0, 0, 0, 0, 0)",
     ],
 )
-def test_the_filter_ends_what_takes_a_way_that_is_not_allowed(code: str) -> None:
+def test_the_filter_kills_a_process_that_uses_a_forbidden_call(code: str) -> None:
     ended = subprocess.run([sys.executable, CONFINED, sys.executable, "-c", code], check=False)
     assert ended.returncode == -signal.SIGSYS
 
 
-def test_the_filter_lets_threads_live_and_refuses_rings_with_an_error() -> None:
+def test_the_filter_allows_threads_and_refuses_io_rings_with_an_error() -> None:
     code = (
         "import ctypes, errno, threading as t\n"
         "x = t.Thread(target=print); x.start(); x.join()\n"
@@ -89,7 +89,7 @@
             director.send_signal(signal.SIGHUP)
             await later.connected.wait()
             of = Path(f"/proc/{director.pid}")
-            # by exec the shell has become the director itself, and it has no other process
+            # the shell was replaced by the director through exec, so there is no other process
             assert of.joinpath("exe").resolve() == Path(sys.executable).resolve()
             assert not of.joinpath(f"task/{director.pid}/children").read_text()
             assert "/libc.so" in of.joinpath("maps").read_text()
@@ -107,7 +107,7 @@
     uvloop.run(asyncio.wait_for(test(), 40))
 
 
-def test_build_brings_an_older_environment_up_to_date_and_asks_for_no_other_program() -> None:
+def test_build_updates_an_older_environment_and_needs_no_other_program() -> None:
     line = DEPLOY["build"]
     made, installed, compiled = (step.strip() for step in line.split("&&"))
     assert made.startswith("(test -d .venv || ") and installed.endswith("install -r requirements.txt")
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -1,7 +1,7 @@
-"""Crossings on a platform director's watch of the box list: connections, reloads, gaps, drains.
+"""Events that cross on a platform director's watch of the server list: connections, reloads, gaps, drains.
 
-Loopback sockets, but for the fleet that comes back at once, which is in virtual time. All pairs:
-`docs/design/crossings.md`.
+The tests use loopback sockets, except for the fleet that reconnects at once, which runs in virtual time. All
+pairs: `docs/design/crossings.md`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import pytest
 from platform_world import config, member
 from ports import free_address
-from test_platform_sockets import Scene, name, play, scene
+from test_platform_sockets import Scene, name, run_scenario, scene
 
 from foxlift import interface as fl
 from foxlift.platform import discovery_watch
@@ -36,7 +36,7 @@
     world.director.reload()
 
 
-def test_a_connection_that_comes_up_as_it_is_given_up_is_closed_and_another_is_heard(
+def test_a_connection_that_opens_as_it_times_out_is_closed_and_another_is_used(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = DiscoveryConnection.connection_made
@@ -44,7 +44,7 @@
 
     def too_late(self: DiscoveryConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
-        if not given_up:  # its time is up in the very turn in which it is made, before its task goes on
+        if not given_up:  # it times out in the iteration in which it opens, before its task resumes
             given_up.append(self)
             discovery = self._owner
             assert isinstance(discovery, Discovery)
@@ -54,81 +54,81 @@
 
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
+            await world.coordinator.connected.wait()
             while world.director.discovery.connection is None:
                 await asyncio.sleep(0)
             assert given_up and given_up[0] is not world.director.discovery.connection
-            await world.feed.until(lambda: world.feed.ended == 1)
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1))
+            await world.coordinator.until(lambda: world.coordinator.ended == 1)
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=1))
             await numbered(world.director, 2)
-            assert world.feed.asked == [1]
+            assert world.coordinator.asked == [1]
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_reload_in_the_start_leaves_one_watch_that_is_heard(tmp_path: Path) -> None:
+def test_a_reload_during_the_start_leaves_one_working_watch(tmp_path: Path) -> None:
     async def test() -> None:
         feeds = [await StandInCoordinator().start() for _ in range(2)]
-        box = await StandInBox().start()
+        server = await StandInBox().start()
         file = tmp_path / "config.json"
-        file.write_bytes(config([member(1, box.address)], feeds[0].address, free_address()))
+        file.write_bytes(config([member(1, server.address)], feeds[0].address, free_address()))
         loop = asyncio.get_running_loop()
         director = PlatformDirector(read(file.read_bytes()), str(file), loop)
         raw = json.loads(file.read_bytes())
         file.write_bytes(json.dumps(dict(raw, coordinator=feeds[1].address)).encode())
-        director.reload()  # the signal came between the reading of the file and the first connection
+        director.reload()  # the signal arrives between the reading of the file and the first connection
         await director.start()
         await feeds[1].connected.wait()
         while director.discovery.connection is None:
             await asyncio.sleep(0)
-        feeds[1].tell(2, 2, record(1, box.address, state=1))
+        feeds[1].tell(2, 2, record(1, server.address, state=1))
         await numbered(director, 2)
         assert feeds[1].asked == [1] and not feeds[0].asked and director.discovery.watch.reconnects == 1
         await director.close()
         for each in feeds:
             each.stop()
-        await box.stop()
+        await server.stop()
 
-    play(test)
+    run_scenario(test)
 
 
-def test_frames_of_the_old_coordinator_behind_the_new_ones_first_say_nothing(tmp_path: Path) -> None:
+def test_frames_of_the_former_coordinator_after_the_first_of_the_new_one_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            await world.feed.connected.wait()
+            await world.coordinator.connected.wait()
             later = await StandInCoordinator().start()
-            world.feed.tell(2, 2, record(1, world.boxes[0].address, state=1))
+            world.coordinator.tell(2, 2, record(1, world.servers[0].address, state=1))
             await numbered(world.director, 2)
-            later.frames.append((3, 2, record(1, world.boxes[0].address, state=0)))
+            later.frames.append((3, 2, record(1, world.servers[0].address, state=0)))
             reload_to(world, later.address)
-            # what it writes from here on is behind the reload, whenever it arrives
-            world.feed.tell(3, 2, record(2, world.boxes[1].address, state=2))
-            world.feed.tell(4, 2, record(1, world.boxes[0].address, state=2))
+            # what it writes from here on is sent after the reload
+            world.coordinator.tell(3, 2, record(2, world.servers[1].address, state=2))
+            world.coordinator.tell(4, 2, record(1, world.servers[0].address, state=2))
             await later.connected.wait()
             assert later.asked == [2]
             await numbered(world.director, 3)
-            later.tell(4, 2, record(2, world.boxes[1].address, state=1))
+            later.tell(4, 2, record(2, world.servers[1].address, state=1))
             await numbered(world.director, 4)
-            boxes = world.director.core._servers
-            assert [boxes[k].status for k in (1, 2)] == [fl.Status.READY, fl.Status.DRAINING]
-            assert world.feed.asked == [1]
+            servers = world.director.core._servers
+            assert [servers[k].status for k in (1, 2)] == [fl.Status.READY, fl.Status.DRAINING]
+            assert world.coordinator.asked == [1]
             later.stop()
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_whole_list_after_a_gap_leaves_cold_boxes_cold_warm_ones_warm_and_drained_ones_drained(
+def test_a_full_list_after_a_gap_keeps_servers_cold_warm_or_draining(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with scene(tmp_path, boxes=4, invariants__ramp_time_ms=600_000.0) as world:
-            director, addresses = world.director, [box.address for box in world.boxes]
-            await world.feed.connected.wait()
+        async with scene(tmp_path, servers=4, invariants__ramp_time_ms=600_000.0) as world:
+            director, addresses = world.director, [server.address for server in world.servers]
+            await world.coordinator.connected.wait()
             cold_since = int(director.timeline.now())
-            world.feed.tell(2, 2, record(1, addresses[0], started=cold_since))
-            world.feed.tell(3, 2, record(2, addresses[1], state=1, cell=1))
+            world.coordinator.tell(2, 2, record(1, addresses[0], started=cold_since))
+            world.coordinator.tell(3, 2, record(2, addresses[1], state=1, cell=1))
             await numbered(director, 3)
-            # gaps that do not close: the whole list is asked for, and its number is the one held
+            # permanent gaps: the full list is requested, and its number is the current one
             whole = [
                 record(1, addresses[0], started=cold_since),
                 record(2, addresses[1], state=1, cell=1),
@@ -137,12 +137,12 @@
             ]
             nodes = director.core.module.nodes
             before = {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes}
-            world.feed.frames = [(3, 1, b"".join(whole))]
+            world.coordinator.frames = [(3, 1, b"".join(whole))]
             for asks in range(1, discovery_watch.MAX_MISREADS + 1):
-                world.feed.writers[-1].write(frame(9, 2, record(3, addresses[2], state=2, cell=2)))
-                while len(world.feed.asked) <= asks:
+                world.coordinator.writers[-1].write(frame(9, 2, record(3, addresses[2], state=2, cell=2)))
+                while len(world.coordinator.asked) <= asks:
                     await asyncio.sleep(0)
-            assert world.feed.asked[-1] == 0
+            assert world.coordinator.asked[-1] == 0
             while director.discovery.watch._misreads:
                 await asyncio.sleep(0)
             assert {k: (nodes[k].cold_since, nodes[k].info.status, nodes[k]) for k in nodes} == before
@@ -151,23 +151,23 @@
             for k in range(1, 9):
                 viewer.send(start_line(name(k), title=name(k)))
                 assert await viewer.answer(name(k))
-            assert not [m for m, _, _ in world.boxes[1].got if m == "SETUP"]
+            assert not [m for m, _, _ in world.servers[1].got if m == "SETUP"]
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_drain_in_one_read_with_a_whole_list_that_omits_the_box_keeps_a_set_up_from_it(
+def test_a_drain_read_together_with_a_full_list_without_the_server_stops_a_set_up_to_it(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         async with scene(tmp_path) as world:
-            director, addresses = world.director, [box.address for box in world.boxes]
-            await world.feed.connected.wait()
+            director, addresses = world.director, [server.address for server in world.servers]
+            await world.coordinator.connected.wait()
             take = director.core.take_setup
             told: list[int] = []
 
             def taken(now: float, number: int, node: int, conn: int) -> bytes | None:
-                if not told:  # the box was chosen and has a connection; its bytes are about to be made
+                if not told:  # the server is chosen and connected; the set-up is about to be written
                     told.append(node)
                     other = 3 - node
                     drain = frame(2, 2, record(node, addresses[node - 1], state=1, cell=node - 1))
@@ -181,10 +181,10 @@
             viewer.send(start_line(name(1), "paid", opts={"left": "60000"}))
             answer = await viewer.answer(name(1))
             assert answer is not None and answer["verb"] == "STARTED" and told
-            gone = world.boxes[told[0] - 1]
+            gone = world.servers[told[0] - 1]
             assert not gone.methods(name(1)) and told[0] not in director.core.module.nodes
 
-    play(test)
+    run_scenario(test)
 
 
 # ---- A fleet at once, virtual time ------------------------------------------------------------------------
@@ -192,8 +192,8 @@
 
 
 @pytest.mark.parametrize("how", ["refused", "silent"])
-def test_two_hundred_directors_come_back_soon_and_not_in_step(how: str) -> None:
-    """The coordinator is down: connections break and are refused, or it and its address fall silent."""
+def test_two_hundred_directors_reconnect_soon_and_not_at_the_same_moment(how: str) -> None:
+    """The coordinator is down: connections close and are refused, or get no reply at all."""
     feeds = [discovery_watch.DiscoveryWatch(Address("10.0.0.1", 4222), 1, seed) for seed in range(DIRECTORS)]
     queue: list[tuple[float, int, int, discovery_watch.Event]] = []
     order = 0
@@ -233,10 +233,9 @@
         do(now, k, feeds[k].handle(now, event))
     back = [min(t for t in mine if t >= DOWN_MS) - DOWN_MS for mine in asked]
     assert all(t < 0 or t >= DOWN_MS for mine in asked for t in mine)
-    assert (
-        max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
-    )  # told long before 4 s
+    # long before 4 s
+    assert max(back) <= discovery_watch.MAX_BACKOFF_MS * 1.25 + discovery_watch.CONNECT_TIMEOUT_MS
     most = max(sum(1 for t in back if start <= t < start + 50) for start in range(0, int(max(back)), 10))
-    assert most <= DIRECTORS / 4, sorted(back)  # of all in any 50 ms
+    assert most <= DIRECTORS / 4, sorted(back)  # share of the fleet in any 50 ms
     during = sum(1 for t in tried if 0 <= t < DOWN_MS)
     assert during <= DIRECTORS * (DOWN_MS / (discovery_watch.MAX_BACKOFF_MS * 0.75) + 6)
