--- a/foxlift/director/core.py
+++ b/foxlift/director/core.py
@@ -739,7 +739,7 @@
 
     def _list_changed(self, update: PublishList) -> None:
         if update.kind is fl.ListKind.FAILED:
-            self._actions.append(ev.WriteLog("box list not received"))
+            self._actions.append(ev.WriteLog("box list not heard"))
             self._notify_module(fl.NodeList(fl.ListKind.FAILED))
             return
         infos = [info for info in map(self._node_info, update.boxes) if info is not None]
