--- a/tests/recovery_world.py
+++ b/tests/recovery_world.py
@@ -1,7 +1,7 @@
-"""Claims, takeovers and a box's arbiter in virtual time, under a scheduler that may do anything to messages.
+"""Claims, takeovers and a box's session owners in virtual time, under a random scheduler.
 
-One paid token, some directors, one box. What each director believes of the others is drawn at random at every
-use: what is safe here is safe under any view. Judged by what ran at the box, and from nothing inside.
+One paid token, some directors, one box. Each director's view of the others is random at every use: what is
+safe here is safe under any view. Judged only by which set-ups ran at the box.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class AtomicRegisters(Proposer):
-    """One register that answers at once, for worlds small enough to be explored whole."""
+    """One register that answers at once, for worlds that are explored completely."""
 
     value: str | None = None
 
@@ -53,7 +53,7 @@
 
 @dataclass
 class World:
-    """`step` does one of the things that may happen; `out` holds them, named."""
+    """`step` lets one thing happen; `out` holds what may happen, by name."""
 
     seed: int
     directors: int = 3
@@ -62,8 +62,8 @@
     make_claims: Callable[..., rc.PaidClaims] = rc.PaidClaims
     make_routes: Callable[..., rt.Routes] = rt.Routes
     make_owners: Callable[[], Owners] = Owners
-    asks_boot: bool = True  # a box runs only what is for its own process
-    done_looks_again: bool = True  # a box looks at its fences when a set-up is done, not only when it comes
+    asks_boot: bool = True  # a box runs only set-ups for its own process
+    done_looks_again: bool = True  # a box checks its fences also when a set-up completes
     ran: list[str] = field(default_factory=list)
     now: int = 1000
 
@@ -107,11 +107,11 @@
         self.processes[name].up = False
         self.owners.streams.pop(name, None)
         if not self.atomic:
-            # what its disk had not finished may or may not be there; nothing was said of it
+            # an unfinished write may or may not be on the disk; nobody got a response
             self.replicas[name] = Replica(EXPIRES, 0, 0, self.disks[name])
 
     def box_dies(self) -> None:
-        """And is back: it has forgotten all, and says since when it remembers."""
+        """The box restarts: it has forgotten all sessions, and reports since when it remembers."""
         self.boots += 1
         self.owners = self.make_owners()
         for name, process in self.processes.items():
@@ -123,7 +123,7 @@
 
     # ---- A director ---------------------------------------------------------------------------------------
     def ask(self, name: str) -> None:
-        """A viewer comes to a director with the token."""
+        """A viewer sends the token to a director."""
         process = self.processes[name]
         if not process.up or process.spent or process.pending or process.asked > 3:
             return
@@ -134,7 +134,7 @@
         process.set_ups += 1
         self.numbers += 1
         set_up = f"{process.name}.{process.run}-{process.set_ups}"
-        boot = str(max(self.boots - self.random.choice((0, 0, 0, 1)), 0))  # perhaps not the latest
+        boot = str(max(self.boots - self.random.choice((0, 0, 0, 1)), 0))  # possibly outdated
         claim = rc.Claim(process.name, process.run, BOX, set_up, self.now, boot)
         process.pending[self.numbers] = claim
         replicas = replicas_of(TOKEN, self.names)
@@ -142,7 +142,7 @@
         self.do_claims(process, process.claims.handle(self.now, want))
 
     def of(self, process: Process, then: Callable[[], None]) -> Callable[[], None]:
-        """Only if that process still runs."""
+        """Wraps `then` so that it runs only while the process does."""
 
         def go() -> None:
             if process.up and self.processes[process.name] is process:
@@ -196,7 +196,9 @@
                 case rt.QueryBox(request, claim):
                     self.send(f"take {claim.set_up}", lambda r=request, c=claim: self.take(process, r, c))  # type: ignore[misc]
                 case rt.Resolved(_, verdict, _, instead_of):
-                    single = not process.spent and not process.pending  # the rest would join
+                    single = (
+                        not process.spent and not process.pending
+                    )  # further viewers would join the session
                     if verdict is rt.RouteOutcome.OPEN and process.asked < 5 and single:
                         self.want(process, instead_of)
 
@@ -220,7 +222,7 @@
         self.send(f"done {claim.set_up}", done)
 
     def take(self, process: Process, request: int, claim: rc.Claim) -> None:
-        """A take may come from a process that is dead by now; `certain` as it pleases."""
+        """The request may come from a process that has died since; `certain` is random."""
         owners = self.owners
         own = claim.owner == process.name
         if owners.fenced(process.name, process.run) or (own and claim.boot_epoch >= process.run):
@@ -259,12 +261,12 @@
         elif chance < 0.072:
             self.session_ends()
         elif chance < 0.077 and self.late:
-            self.late.pop(0)()  # a deadline comes long after most of the rest
+            self.late.pop(0)()  # deadlines pass long after most messages
         elif self.out:
             index = self.random.randrange(len(self.out))
             much = self.random.random()
             if much < 0.1:
-                self.out[index][1]()  # and once more later
+                self.out[index][1]()  # a duplicate: it stays in flight
             elif much < 0.1 + self.loss:
                 self.out.pop(index)
             else:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,8 @@
-"""Claims and takeovers in virtual time: one set-up a paid token, whatever happens to messages."""
+"""Claims, takeovers, disk checks and routing in virtual time, under random schedules.
+
+The failure guarded against: a paid token is set up twice. It would come about if a box ignored a fence or
+forgot an ended session, if a claim of another epoch were replaced, or if a restarted box counted as proof.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 
 
 @pytest.mark.parametrize("part", range(8))
-def test_one_set_up_a_paid_token_in_twenty_thousand_schedules(part: int) -> None:
+def test_a_paid_token_is_set_up_once_in_twenty_thousand_random_schedules(part: int) -> None:
     ran: Counter[int] = Counter()
     taken = 0
     for seed in range(part * SCHEDULES // 8, (part + 1) * SCHEDULES // 8):
@@ -36,12 +40,12 @@
         ran[len(world.ran)] += 1
         taken += any(owned.taken for owned in world.owners.sessions.values())
     print(f"seeds {part * SCHEDULES // 8} on: ran {dict(ran)}, taken over at the end {taken}")
-    assert ran[1] > SCHEDULES // 16 and taken > 20  # most get somewhere, and takes happen
+    assert ran[1] > SCHEDULES // 16 and taken > 20  # most schedules set a token up, and takeovers happen
 
 
 # ---- Each guard switched off ------------------------------------------------------------------------------
-class Unfenced(Owners):
-    """Owners that forget every fence."""
+class WithoutFences(Owners):
+    """A box that forgets every fence."""
 
     def take(self, *args: Any, **more: Any) -> Taken:
         before = dict(self.fences)
@@ -50,15 +54,15 @@
         return found
 
 
-class Forgetful(Owners):
-    """What ended is not remembered."""
+class ForgetsEnded(Owners):
+    """A box that forgets ended sessions."""
 
     def over(self, set_up: str, now_ms: int) -> None:
         self.sessions.pop(set_up, None)
 
 
-class Rash(rt.Routes):
-    """A process of the box that the set-up was not for is believed all the same."""
+class TrustsAnyBoxProcess(rt.Routes):
+    """Trusts the response of a box process that the set-up was not for."""
 
     def _box_responded(self, wish: rt.RouteRequested, told: rt.BoxResponded) -> list[rt.Action]:
         boot = wish.claim.boot if wish.claim is not None else ""
@@ -67,8 +71,8 @@
         )
 
 
-class Sameness(rc.PaidClaims):
-    """An earlier run's claim is taken for this run's own."""
+class ReplacesOtherEpochs(rc.PaidClaims):
+    """Replaces claims of earlier boot epochs."""
 
     def _decided(self, now: float, asked: Any, value: str) -> list[rc.Action]:
         found = rc.read_claim(value)
@@ -77,8 +81,8 @@
         return super()._decided(now, asked, value)
 
 
-class Unasked(rc.PaidClaims):
-    """Nobody is asked."""
+class GrantsWithoutRegister(rc.PaidClaims):
+    """Grants every claim without a register."""
 
     def handle(self, now: float, event: rc.Event) -> list[rc.Action]:
         return [rc.Granted(event.number)] if isinstance(event, rc.ClaimRequested) else []
@@ -87,17 +91,17 @@
 @pytest.mark.parametrize(
     "off",
     [
-        {"make_owners": Unfenced},
-        {"make_owners": Forgetful},
-        {"make_routes": Rash},
-        {"make_claims": Sameness},
-        {"make_claims": Unasked},
+        {"make_owners": WithoutFences},
+        {"make_owners": ForgetsEnded},
+        {"make_routes": TrustsAnyBoxProcess},
+        {"make_claims": ReplacesOtherEpochs},
+        {"make_claims": GrantsWithoutRegister},
         {"done_looks_again": False},
         {"asks_boot": False},
     ],
     ids=["fence", "memory", "whose memory", "own earlier run", "claim", "look when done", "boot"],
 )
-def test_each_guard_switched_off_lets_a_token_be_set_up_twice(off: dict[str, Any]) -> None:
+def test_without_each_safety_rule_a_token_is_set_up_twice(off: dict[str, Any]) -> None:
     assert any(len(play(World(seed, **off)).ran) > 1 for seed in range(20_000))
 
 
@@ -160,7 +164,7 @@
         )  # fmt: skip
 
 
-def test_every_order_of_a_small_world() -> None:
+def test_a_token_is_set_up_once_in_every_message_order_of_a_small_world() -> None:
     seen: set[tuple[Any, ...]] = set()
     stack: list[tuple[str, ...]] = [()]
     transitions = most = 0
@@ -187,8 +191,8 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_a_set_up_that_was_taken_over_is_no_attempt_that_never_ran(told: bool) -> None:
-    """One that stood still wakes, and its viewer asks again before its next run has begun."""
+def test_the_claim_of_a_set_up_that_was_taken_over_is_not_replaced(told: bool) -> None:
+    """A stalled director continues, and its viewer asks again before the next boot epoch has begun."""
     registers = AtomicRegisters("d0.1", 1)
     registers.store = {"value": None}
     claims = rc.PaidClaims("d0", 1, registers)
@@ -203,10 +207,10 @@
     (answer,) = want(2)
     assert isinstance(
         answer, rc.OwnedElsewhere if told else rc.Granted
-    )  # without the guard: set up a second time
+    )  # else it would be set up a second time
 
 
-# ---- Who takes what over, and when ------------------------------------------------------------------------
+# ---- Takeovers --------------------------------------------------------------------------------------------
 NAMES = frozenset(f"d{k}" for k in range(9))
 BOXES = frozenset(f"b{k}" for k in range(24))
 
@@ -227,7 +231,7 @@
 def run(
     made: tk.Takeovers, now: float, actions: list[tk.Action], until: float
 ) -> list[tuple[float, tk.RequestTakeover]]:
-    """Carry out timers; every take is answered at once."""
+    """Run timers; every takeover succeeds at once."""
     timers = [(now + a.delay_ms, k, a.event) for k, a in enumerate(actions) if isinstance(a, tk.StartTimer)]
     found: list[tuple[float, tk.RequestTakeover]] = []
     count = len(timers)
@@ -248,7 +252,7 @@
     return found
 
 
-def test_a_dead_director_s_boxes_are_shared_out_among_the_survivors_each_once() -> None:
+def test_each_box_of_a_dead_director_is_taken_over_by_one_survivor() -> None:
     takes: Counter[str] = Counter()
     sweeps: Counter[str] = Counter()
     by: Counter[str] = Counter()
@@ -265,10 +269,10 @@
                 sweeps[take.box] += 1
     assert takes == Counter(dict.fromkeys(BOXES, 1))
     assert sweeps == Counter(dict.fromkeys(BOXES, tk.MAX_SWEEPS))  # and no more after that
-    assert max(by.values()) <= 8  # of 24 boxes: nobody takes the whole load
+    assert max(by.values()) <= 8  # of 24 boxes: the load is spread
 
 
-def test_sweeps_come_ever_later_also_where_the_box_hears_from_the_owner() -> None:
+def test_the_delays_of_sweeps_grow_even_if_the_box_hears_from_the_owner() -> None:
     made = taker("d0")
     made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
     work = next(w for w in made._work.values() if w.owner == "d3")
@@ -290,7 +294,7 @@
     assert waits[0] >= 0.75 * tk.CERTAIN_MS
 
 
-def test_one_that_is_back_is_swept_no_more() -> None:
+def test_a_director_that_is_back_is_not_swept_any_more() -> None:
     made = taker("d0")
     actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
     first = run(made, 10.0, actions, 1000.0)
@@ -302,7 +306,7 @@
         assert made.handle(9000.0, tk.AttemptDue(work.number, work.round_id)) == []
 
 
-def test_own_earlier_runs_are_taken_over_at_every_box() -> None:
+def test_own_earlier_epochs_are_taken_over_at_every_box() -> None:
     made = tk.Takeovers("d0", NAMES, 1)
     first = made.handle(0.0, tk.EpochBegun(100))
     found = run(made, 0.0, [*first, *made.handle(0.0, tk.BoxesListed(BOXES))], 5000.0)
@@ -311,7 +315,7 @@
     assert all(made.own_done(box) for box in BOXES)
 
 
-def test_few_takes_are_out_at_once_however_many_die() -> None:
+def test_few_takeovers_are_in_progress_at_once_however_many_directors_die() -> None:
     made = taker("d0")
     for name in sorted(NAMES - {"d0"}):
         made.handle(10.0, tk.PeerChanged(name, PeerState.DEAD, 7, ("d0",)))
@@ -322,7 +326,7 @@
     assert out == tk.MAX_CONCURRENT
 
 
-def test_one_that_refuted_is_not_taken_over() -> None:
+def test_a_director_that_refuted_its_death_is_not_taken_over() -> None:
     made = taker("d0")
     actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
     made.handle(11.0, tk.PeerChanged("d3", PeerState.ALIVE, 7, there()))
@@ -331,10 +335,10 @@
 
 
 @pytest.mark.parametrize("heard, certain", [(4, True), (3, False)])
-def test_certain_is_only_who_has_heard_a_majority_since(heard: int, certain: bool) -> None:
+def test_a_death_is_certain_only_after_contact_with_a_majority(heard: int, certain: bool) -> None:
     made = taker("d0")
     for name in ("d1", "d2", "d3", "d4"):
-        made.handle(5.0, tk.PeerContacted(name))  # before: counts for nothing
+        made.handle(5.0, tk.PeerContacted(name))  # before the death: does not count
     made.handle(10.0, tk.PeerChanged("d8", PeerState.DEAD, 7, there("d8")))
     made.handle(11.0, tk.PeerContacted("d8"))  # of itself
     for k in range(1, heard + 1):
@@ -343,14 +347,14 @@
     assert made.certain(5000.0, "d8") is certain
 
 
-def test_who_left_in_order_is_taken_over_at_once_and_for_certain() -> None:
+def test_a_director_that_announced_its_leave_is_taken_over_at_once_and_for_certain() -> None:
     made = taker("d0")
     actions = made.handle(10.0, tk.PeerChanged("d3", PeerState.LEFT, 7, there("d3")))
     found = [(at, take) for at, take in run(made, 10.0, actions, 300.0) if take.owner == "d3"]
     assert found and all(take.certain and at < 10.0 + tk.FIRST_DELAY_MAX_MS + 1 for at, take in found)
 
 
-def test_a_refused_take_comes_again_ever_later_and_never_stops() -> None:
+def test_a_refused_takeover_is_retried_with_growing_delays_for_good() -> None:
     made = taker("d0")
     made.handle(10.0, tk.PeerChanged("d3", PeerState.DEAD, 7, there("d3")))
     work = next(w for w in made._work.values() if w.owner == "d3")
@@ -368,7 +372,7 @@
     assert max(waits) <= tk.RETRY_MAX_MS and min(waits[5:]) >= tk.RETRY_MAX_MS / 2
 
 
-def test_tables_are_bounded_by_names_and_boxes_whatever_happens() -> None:
+def test_tables_are_bounded_by_names_and_boxes_under_random_events() -> None:
     chance = random.Random(5)
     made = taker("d0")
     now = 0.0
@@ -387,7 +391,7 @@
     assert sizes["gone"] <= 9 and sizes["work"] <= 9 * 24
 
 
-# ---- Whether a disk may be believed -----------------------------------------------------------------------
+# ---- Disk check -------------------------------------------------------------------------------------------
 OTHERS = [f"d{k}" for k in range(1, 9)]
 
 
@@ -399,7 +403,7 @@
     ]
 
 
-def test_a_new_director_vouches_once_more_than_half_of_the_others_never_met_it() -> None:
+def test_a_new_director_trusts_its_disk_after_more_than_half_of_the_peers_responded() -> None:
     made = dc.DiskCheck(OTHERS, 0, 1)
     assert {a.peer for a in made.start() if isinstance(a, dc.QueryEpoch)} == set(OTHERS)
     assert not [a for a in told(made, dict.fromkeys(OTHERS[:4], 0)) if isinstance(a, dc.Trust)]
@@ -408,21 +412,21 @@
 
 
 @pytest.mark.parametrize("last, lost", [(0, True), (40, True), (50, False)])
-def test_one_who_knew_a_run_that_the_disk_does_not_makes_it_a_lost_one(last: int, lost: bool) -> None:
+def test_a_peer_that_knows_a_later_epoch_than_the_disk_shows_that_it_is_lost(last: int, lost: bool) -> None:
     made = dc.DiskCheck(OTHERS, last, 1)
     made.start()
     actions = told(made, {**dict.fromkeys(OTHERS[:4], 0), OTHERS[4]: 50})
     assert actions == [dc.Trust(lost)]
 
 
-def test_any_two_majorities_of_the_others_share_one_who_knew() -> None:
-    """The rule that makes it sound: who wrote the last run down, and who is asked by the next, meet."""
+def test_any_two_majorities_of_the_peers_share_one() -> None:
+    """So one of the peers that a new epoch asks has stored the last one."""
     for others in range(1, 12):
         need = others // 2 + 1
         assert 2 * need > others
 
 
-def test_silent_peers_are_asked_again_ever_later() -> None:
+def test_silent_peers_are_asked_again_with_growing_delays() -> None:
     made = dc.DiskCheck(OTHERS, 5, 1)
     waits = [a.delay_ms for a in made.start() if isinstance(a, dc.StartTimer)]
     for _ in range(8):
@@ -432,7 +436,7 @@
     assert max(waits) <= 1.5 * dc.RETRY_MAX_MS and waits[-1] > waits[0]
 
 
-# ---- Where requests go ------------------------------------------------------------------------------------
+# ---- Routing ----------------------------------------------------------------------------------------------
 CLAIM = rc.Claim("d1", 7, BOX, "d1.7-1-0", 1000, "b0#1")
 
 
@@ -440,18 +444,18 @@
     return rt.Routes("d0", 1, lambda n: gone, lambda n: there, lambda of, box: successor, 50)
 
 
-def test_a_request_goes_to_the_owner_while_it_is_there_and_to_its_successor_after() -> None:
+def test_a_request_is_forwarded_to_the_owner_or_after_its_death_to_the_successor() -> None:
     assert routes().handle(rt.RouteRequested(1, CLAIM)) == [rt.Forward(1, "d1")]
     assert routes(gone=True).handle(rt.RouteRequested(1, CLAIM)) == [rt.Forward(1, "d2")]
     assert routes(gone=True, successor="d0").handle(rt.RouteRequested(1, CLAIM)) == [rt.QueryBox(1, CLAIM)]
 
 
-def test_a_request_makes_one_hop_at_most() -> None:
+def test_a_request_is_forwarded_once_at_most() -> None:
     (tell,) = routes().handle(rt.RouteRequested(1, CLAIM, forwarded=True))
     assert isinstance(tell, rt.Resolved) and tell.outcome is rt.RouteOutcome.NOT_HERE
 
 
-def test_an_unreachable_owner_means_come_back_told_apart() -> None:
+def test_an_unreachable_owner_means_come_back_after_random_times() -> None:
     made = routes()
     waits = set()
     for number in range(50):
@@ -469,13 +473,15 @@
         ("yours", 0, "b0#1", rt.RouteOutcome.SHOW),
         ("ended", 0, "b0#1", rt.RouteOutcome.PLAYED),
         ("never", 0, "b0#1", rt.RouteOutcome.OPEN),
-        ("never", 0, "b0#2", rt.RouteOutcome.FAILED),  # of another process of that box
+        ("never", 0, "b0#2", rt.RouteOutcome.FAILED),  # from another process of that box
         ("never", 900, "b0#1", rt.RouteOutcome.OPEN),
-        ("never", 960, "b0#1", rt.RouteOutcome.FAILED),  # within what clocks may differ by
+        ("never", 960, "b0#1", rt.RouteOutcome.FAILED),  # within the difference between clocks
         ("never", 5000, "b0#1", rt.RouteOutcome.FAILED),
     ],
 )
-def test_what_the_box_knows_decides(became: str, since: int, boot: str, verdict: rt.RouteOutcome) -> None:
+def test_the_box_s_response_decides_the_outcome(
+    became: str, since: int, boot: str, verdict: rt.RouteOutcome
+) -> None:
     made = routes(gone=True, successor="d0")
     made.handle(rt.RouteRequested(1, CLAIM))
     (tell,) = made.handle(rt.BoxResponded(1, became, "", since, boot))
@@ -483,7 +489,7 @@
     assert (tell.replaces == CLAIM) is (verdict is rt.RouteOutcome.OPEN)
 
 
-def test_a_hint_settles_nothing() -> None:
+def test_a_hint_alone_never_refuses_a_request() -> None:
     made = routes(gone=True, successor="d0")
     events: tuple[rt.Event, ...] = (
         rt.BoxResponded(0, "ended", "", 0, "b0#1"),
@@ -497,14 +503,14 @@
         assert tell.outcome is rt.RouteOutcome.OPEN and tell.replaces is None
 
 
-def test_a_box_that_is_gone_settles_that_it_may_have_run() -> None:
+def test_if_the_box_is_gone_the_set_up_may_have_run() -> None:
     made = routes(gone=True, successor="d0")
     made.handle(rt.RouteRequested(1, CLAIM))
     (tell,) = made.handle(rt.BoxFailed(1, gone=True))
     assert isinstance(tell, rt.Resolved) and tell.outcome is rt.RouteOutcome.FAILED
 
 
-def test_requests_on_their_way_are_bounded_and_forgotten_with_their_viewers() -> None:
+def test_routed_requests_are_bounded_and_removed_when_their_viewers_leave() -> None:
     made = routes()
     for number in range(rt.MAX_REQUESTS + 5):
         made.handle(rt.RouteRequested(number, CLAIM))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,8 @@
-"""Work in hand outlives its director: several processes of the program, with faults between them."""
+"""Sessions outlive their director: several processes of the program, with faults between them.
+
+The failures guarded against: a paid token is set up twice, or a session is lost or unreachable, after the
+death, stall, restart or partition of directors and boxes.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +25,17 @@
 
 
 def kept(many: Many, name: str) -> bytes:
-    """What a director has sent to boxes and relays hold back."""
+    """What a director has sent to boxes and the taps hold back."""
     sides = [side for tap in box_links(many, name) for side in tap._sides if side.kind == "up"]
     return b"".join(data for side in sides for _, data in side.way._line)
 
 
-def vouched(many: Many, name: str) -> dict[str, Any]:
+def replica_started(many: Many, name: str) -> dict[str, Any]:
     found = many.said(name, "registers vouched for")
     return found[-1] if found else {}
 
 
-def test_a_reload_at_another_director_shows_the_same_session_one_hop_away(tmp_path: Path) -> None:
+def test_a_reload_at_another_director_is_forwarded_to_the_same_session(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         token = many.token("a")
         first = await many.manifest("d0", token)
@@ -76,7 +80,7 @@
     run(tmp_path, test)
 
 
-def test_killed_between_claim_and_set_up_the_token_is_set_up_once_elsewhere(tmp_path: Path) -> None:
+def test_after_a_kill_between_claim_and_set_up_the_token_is_set_up_once_elsewhere(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         for tap in box_links(many, "d0"):
             tap.change(HELD, None)  # the set-up leaves, and never arrives
@@ -110,7 +114,7 @@
     run(tmp_path, test)
 
 
-def test_a_set_up_that_comes_after_the_takeover_never_runs(tmp_path: Path) -> None:
+def test_a_set_up_that_arrives_after_the_takeover_never_runs(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         for tap in box_links(many, "d0"):
             tap.change(HELD, None)
@@ -135,7 +139,7 @@
     run(tmp_path, test)
 
 
-def test_one_that_stood_still_finds_itself_fenced_and_goes_on_with_new_work(tmp_path: Path) -> None:
+def test_a_stalled_director_is_fenced_off_and_continues_with_new_sessions(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         tokens = [many.token(f"a{k}") for k in range(6)]
         shown = [await many.manifest("d0", token) for token in tokens]
@@ -164,8 +168,8 @@
     run(tmp_path, test)
 
 
-def test_a_run_that_no_other_heard_of_is_taken_over_too(tmp_path: Path) -> None:
-    """A director is fenced off, begins another run, and dies before any other hears of that run."""
+def test_a_boot_epoch_that_no_peer_knows_is_taken_over_too(tmp_path: Path) -> None:
+    """A director is fenced off, begins another boot epoch, and dies before any other learns of it."""
 
     async def test(many: Many) -> None:
         assert (await many.manifest("d0", many.token("old", "briefing"))).status == 200
@@ -184,12 +188,12 @@
         await many.until(lambda: new not in many.owned() or many.owned()[new].name != "d0")
         assert new in many.owned(), "the session has ended: nobody has taken it over in its grace"
         for name in ("d1", "d2"):
-            assert many.said(name, "peer")[-1]["state"] == "dead"  # and no later run was ever heard of
+            assert many.said(name, "peer")[-1]["state"] == "dead"  # and no later boot epoch was known
 
     run(tmp_path, test)
 
 
-def test_its_own_next_run_keeps_what_nobody_has_taken(tmp_path: Path) -> None:
+def test_its_next_boot_epoch_keeps_the_sessions_that_nobody_took_over(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         tokens = [many.token(f"a{k}", "graded" if k % 2 else "briefing") for k in range(6)]
         shown = [await many.manifest("d0", token) for token in tokens]
@@ -261,7 +265,7 @@
     run(tmp_path, test)
 
 
-def test_a_box_that_cannot_be_asked_settles_nothing(tmp_path: Path) -> None:
+def test_a_box_that_does_not_respond_proves_nothing(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         token = many.token("a")
         await many.manifest("d0", token)
@@ -279,7 +283,7 @@
     run(tmp_path, test)
 
 
-def test_cut_from_its_peers_and_not_from_boxes_it_keeps_its_sessions_until_a_majority_is_sure(
+def test_cut_from_its_peers_only_it_keeps_its_sessions_until_its_death_is_certain(
     tmp_path: Path,
 ) -> None:
     async def test(many: Many) -> None:
@@ -304,7 +308,7 @@
     run(tmp_path, test)
 
 
-def test_two_halves_take_nothing_from_each_other(tmp_path: Path) -> None:
+def test_two_halves_of_a_partition_take_nothing_from_each_other(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         shown = {}
         for name in many.fronts:
@@ -365,7 +369,7 @@
     run(tmp_path, test)
 
 
-def test_a_lost_disk_is_found_out_and_no_token_is_doubled(tmp_path: Path) -> None:
+def test_a_lost_disk_is_detected_and_no_token_is_set_up_twice(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         token = many.token("a")
         first = await many.manifest("d0", token)
@@ -375,7 +379,7 @@
         await asyncio.gather(many.start("d1"), many.start("d2"))
         again_up = ("d1", "d2")
         await many.until(lambda: all(len(many.said(n, "registers vouched for")) == 2 for n in again_up))
-        assert all(vouched(many, name)["lost"] for name in ("d1", "d2"))
+        assert all(replica_started(many, name)["lost"] for name in ("d1", "d2"))
         # two of three copies are lost: refused, never doubled; the owner itself knows its own
         assert (await many.manifest("d1", token)).status == 503
         assert (await many.manifest("d0", token)).status == 200
@@ -389,24 +393,24 @@
     run(tmp_path, test)
 
 
-def test_a_disk_from_yesterday_is_found_out(tmp_path: Path) -> None:
+def test_a_disk_restored_from_an_old_copy_is_detected(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         await many.kill("d1")
         shutil.copytree(tmp_path / "state-d1", tmp_path / "yesterday")
         await many.start("d1")
         await many.until(lambda: len(many.said("d1", "registers vouched for")) == 2)
-        assert not vouched(many, "d1")["lost"]
+        assert not replica_started(many, "d1")["lost"]
         await many.kill("d1")
         shutil.rmtree(tmp_path / "state-d1")
         shutil.copytree(tmp_path / "yesterday", tmp_path / "state-d1")
         await many.start("d1")
         await many.until(lambda: len(many.said("d1", "registers vouched for")) == 3)
-        assert vouched(many, "d1")["lost"]
+        assert replica_started(many, "d1")["lost"]
 
     run(tmp_path, test)
 
 
-def test_a_peer_that_sends_garbage_harms_nobody(tmp_path: Path) -> None:
+def test_a_peer_that_sends_garbage_harms_no_one(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         port = many.links["d1", "d0"].target
         bodies = (b"{", b"\xff" * 5000, b"[]", b'{"type":"ping","sender":"d1","run":-1}', b"[" * 9000)
@@ -471,7 +475,7 @@
     run(tmp_path, test)
 
 
-def test_the_new_owner_steers_a_rung_change_that_was_under_way(tmp_path: Path) -> None:
+def test_the_new_owner_completes_a_rung_change_in_progress(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         token = many.token("a")
         await many.manifest("d0", token)
@@ -532,7 +536,7 @@
     run(tmp_path, test, directors=10)
 
 
-def test_without_its_disk_and_with_its_clock_set_back_it_finds_a_run_above_all_others(tmp_path: Path) -> None:
+def test_with_a_lost_disk_and_its_clock_set_back_it_finds_a_higher_boot_epoch(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         token = many.token("a")
         first = await many.manifest("d0", token)
@@ -543,7 +547,7 @@
         child.arguments = (*child.arguments[:-1], "--clock-ahead-s", "-600", child.arguments[-1])
         await many.start("d0")
         await many.until(lambda: len(many.said("d0", "registers vouched for")) == 2)
-        assert vouched(many, "d0")["lost"]
+        assert replica_started(many, "d0")["lost"]
         again = await many.until_shown("d0", token)
         assert again.status == 200 and base_of(again)[1] == base_of(first)[1]
         # new work of its own runs, at boxes that fenced its last run as well
