--- a/foxlift/consensus/register.py
+++ b/foxlift/consensus/register.py
@@ -17,7 +17,7 @@
 the two groups.
 
 After NoQuorum the new value may still become the decided one, when a later proposer finds it at a replica.
-Only another change of the register tells.
+Only another change of the register shows which value it holds.
 """
 
 from __future__ import annotations
@@ -238,9 +238,9 @@
     def _write(self, number: int, change: _Change) -> list[Action]:
         request = change.request
         accepted = [(p.accepted, p.value) for p in change.promises.values() if p.accepted is not None]
-        held = max(accepted)[1] if accepted else None
+        found = max(accepted)[1] if accepted else None
         # a value that may be decided already must stay; only the expected value is replaced
-        change.value = request.value if held == request.expected or held is None else held
+        change.value = request.value if found == request.expected or found is None else found
         change.state, change.round_id = _State.WRITING, change.round_id + 1
         change.failed = set()
         return self._send_to_all(
@@ -249,9 +249,9 @@
 
     def _back_off(self, number: int, change: _Change) -> list[Action]:
         change.state, change.round_id = _State.WAITING, change.round_id + 1
-        most = min(RETRY_MIN_MS * 2 ** min(change.round_id // 2, 10), RETRY_MAX_MS)
-        delay = most * (0.5 + 0.5 * self._random.random())
-        return [StartTimer(delay, RetryDue(number, change.round_id))]
+        max_delay_ms = min(RETRY_MIN_MS * 2 ** min(change.round_id // 2, 10), RETRY_MAX_MS)
+        delay_ms = max_delay_ms * (0.5 + 0.5 * self._random.random())
+        return [StartTimer(delay_ms, RetryDue(number, change.round_id))]
 
     def _request_failed(self, request_id: int) -> list[Action]:
         number, replica, change = self._pending_change(request_id)
@@ -260,8 +260,8 @@
     def _replica_failed(self, number: int, change: _Change, replica: str) -> list[Action]:
         """A replica has failed; without a possible majority the change ends before its deadline."""
         change.failed.add(replica)
-        left = set(change.request.all_replicas) - change.failed
-        return [] if self._majority(change, left) else self._fail(number)
+        remaining = set(change.request.all_replicas) - change.failed
+        return [] if self._majority(change, remaining) else self._fail(number)
 
     def _fail(self, number: int) -> list[Action]:
         if number not in self._changes:
--- a/foxlift/recovery/claims.py
+++ b/foxlift/recovery/claims.py
@@ -21,7 +21,7 @@
 
 from foxlift.consensus import register as rg
 
-MAX_LOST_SET_UPS = 100_000
+MAX_FOREIGN_SET_UPS = 100_000
 MAX_TRIES = 3  # this director's own earlier attempt is replaced, and once more if there is another
 
 
@@ -123,8 +123,10 @@
     boot_epoch: int
     registers: rg.Proposer
     _pending: dict[int, _PendingClaim] = field(default_factory=dict)  # by number of the register change
-    _lost: dict[str, None] = field(default_factory=dict)  # set-ups that other directors own now, oldest first
-    _last: int = 0
+    _foreign_set_ups: dict[str, None] = field(
+        default_factory=dict
+    )  # set-ups that other directors own now, oldest first
+    _last_change: int = 0
 
     def __len__(self) -> int:
         return len(self._pending)
@@ -134,9 +136,9 @@
 
         The boot epoch is renewed soon after; until then only this prevents a second set-up.
         """
-        self._lost[set_up] = None
-        while len(self._lost) > MAX_LOST_SET_UPS:
-            del self._lost[next(iter(self._lost))]
+        self._foreign_set_ups[set_up] = None
+        while len(self._foreign_set_ups) > MAX_FOREIGN_SET_UPS:
+            del self._foreign_set_ups[next(iter(self._foreign_set_ups))]
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Handle one event; `now` in ms."""
@@ -146,8 +148,8 @@
         return self._carry_out_register(now, self.registers.handle(now, event.event))
 
     def _change(self, now: float, pending: _PendingClaim) -> list[Action]:
-        self._last += 1
-        pending.change = self._last
+        self._last_change += 1
+        pending.change = self._last_change
         self._pending[pending.change] = pending
         request = pending.request
         change = rg.Change(
@@ -180,6 +182,11 @@
             return [Granted(request.number)]
         found = read_claim(value)
         own = found is not None and (found.owner, found.boot_epoch) == (self.name, self.boot_epoch)
-        if own and found is not None and found.set_up not in self._lost and pending.tries < MAX_TRIES:
+        if (
+            own
+            and found is not None
+            and found.set_up not in self._foreign_set_ups
+            and pending.tries < MAX_TRIES
+        ):
             return self._change(now, _PendingClaim(request, value, pending.tries + 1))
         return [OwnedElsewhere(request.number, found)]
--- a/foxlift/recovery/takeover.py
+++ b/foxlift/recovery/takeover.py
@@ -293,24 +293,24 @@
         wait: list[Action] = [StartTimer(UNKNOWN_PEER_TIMEOUT_MS, UnknownPeersDue())] if first else []
         return [*wait, *self._update_works()]
 
-    def _peer_changed(self, now: float, seen: PeerChanged) -> list[Action]:
-        self._reachable = seen.reachable
-        if seen.peer == self.name or seen.peer not in self.names:
-            if seen.peer != self.name:
-                self._gone.pop(seen.peer, None)  # the settings no longer name it
+    def _peer_changed(self, now: float, change: PeerChanged) -> list[Action]:
+        self._reachable = change.reachable
+        if change.peer == self.name or change.peer not in self.names:
+            if change.peer != self.name:
+                self._gone.pop(change.peer, None)  # the settings no longer name it
             return self._update_works()
-        known = self._gone.get(seen.peer)
-        if seen.state in (PeerState.DEAD, PeerState.LEFT):
-            self._known.add(seen.peer)
-            left = seen.state is PeerState.LEFT
-            if known is None or known.boot_epoch < seen.boot_epoch or (left and not known.left):
-                self._gone[seen.peer] = _GoneDirector(seen.boot_epoch, now, left)
-                self._forget(lambda work: work.owner == seen.peer)
-        elif seen.state in (PeerState.ALIVE, PeerState.SUSPECTED):
-            self._known.add(seen.peer)
+        known = self._gone.get(change.peer)
+        if change.state in (PeerState.DEAD, PeerState.LEFT):
+            self._known.add(change.peer)
+            left = change.state is PeerState.LEFT
+            if known is None or known.boot_epoch < change.boot_epoch or (left and not known.left):
+                self._gone[change.peer] = _GoneDirector(change.boot_epoch, now, left)
+                self._forget(lambda work: work.owner == change.peer)
+        elif change.state in (PeerState.ALIVE, PeerState.SUSPECTED):
+            self._known.add(change.peer)
             if known is not None:
                 # it refuted, or is back in a later epoch, which takes over what is left
-                del self._gone[seen.peer]
+                del self._gone[change.peer]
         return self._update_works()
 
     def _update_works(self) -> list[Action]:
--- a/foxlift/zones/evidence.py
+++ b/foxlift/zones/evidence.py
@@ -148,7 +148,7 @@
             for zone, observation in report.observations.items():
                 places[zone][report.zone].append(observation.is_unreachable)
         broken = {
-            zone: fmean(fmean(said) for said in by_place.values()) >= HALF
+            zone: fmean(fmean(votes) for votes in by_place.values()) >= HALF
             for zone, by_place in places.items()
         }
 
