--- a/tests/test_zones_processes.py
+++ b/tests/test_zones_processes.py
@@ -1,4 +1,7 @@
-"""Zones fail over by one plan: several processes of the program, boxes in three zones."""
+"""Zones in several processes of the program: a zone that does not respond, and operators' orders.
+
+The failure guarded against: directors apply no plan, or different ones, when a zone is lost or ordered empty.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 async def traffic(many: Many, stop: asyncio.Event, klass: str = "briefing") -> int:
-    """Viewers come to every director, again and again; how many were shown something."""
+    """Send viewers to every director repeatedly; returns how many got a session."""
     shown = number = 0
     while not stop.is_set():
         asked = []
@@ -30,8 +33,8 @@
     return shown
 
 
-async def told(port: int, order: str, zone: str) -> int:
-    """`foxlift zone`, as an operator gives it; its exit code."""
+async def run_zone_command(port: int, order: str, zone: str) -> int:
+    """Run `foxlift zone` as an operator; returns its exit code."""
     arguments = ("-m", "foxlift.cli.main", "zone", order, zone, "--at", f"http://127.0.0.1:{port}")
     process = await asyncio.create_subprocess_exec(
         sys.executable, *arguments, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL
@@ -43,7 +46,7 @@
     return [name for name, box in many.fleet.boxes.items() if box.model.zone == zone]
 
 
-def test_a_zone_that_answers_nobody_is_emptied_by_all_and_comes_back(tmp_path: Path) -> None:
+def test_a_zone_that_does_not_respond_is_emptied_by_all_and_returns(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         stop = asyncio.Event()
         coming = asyncio.ensure_future(traffic(many, stop))
@@ -75,14 +78,14 @@
     run(tmp_path, test, directors=6, boxes=6, zones=ZONES, makers=MAKERS)
 
 
-def test_an_operator_empties_a_zone_and_gives_it_back(tmp_path: Path) -> None:
+def test_an_operator_empties_a_zone_and_returns_it(tmp_path: Path) -> None:
     async def test(many: Many) -> None:
         stop = asyncio.Event()
         coming = asyncio.ensure_future(traffic(many, stop))
         await many.until(lambda: len(many.sessions()) > 30)
         port = many.links["d0", "d4"].target  # any director takes the order
-        assert await told(port, "empty", "west") == 0
-        assert await told(port, "empty", "nowhere") == 3
+        assert await run_zone_command(port, "empty", "west") == 0
+        assert await run_zone_command(port, "empty", "nowhere") == 3
         assert (await ask(port, "/peers/order", "POST", body=b'{"zone":"x","order":"empty"}')).status == 404
         assert (await ask(port, "/peers/order", "POST", body=b'{"zone":"west","order":"burn"}')).status == 400
         emptied = list(many.fronts)
@@ -91,7 +94,7 @@
                 plans(many, n) and plans(many, n)[-1]["zones"].get("west") == "emptied" for n in emptied
             )
         )
-        assert await told(port, "return", "west") == 0
+        assert await run_zone_command(port, "return", "west") == 0
         await many.until(lambda: all(plans(many, n)[-1]["zones"] == {} for n in emptied), 60.0)
         stop.set()
         assert await coming > 30
