--- a/tests/test_renditions.py
+++ b/tests/test_renditions.py
@@ -4,13 +4,14 @@
 
 import time
 from dataclasses import replace
+from itertools import count
 from pathlib import Path
 from typing import Any
 
 import mpegdash.parser
 import pytest
 from corpus import CORPUS, many
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 from lxml import etree
 from test_manifest import VIEW, view
@@ -40,6 +41,29 @@
     return Renditions(periods)
 
 
+def title_of(*periods: tuple[tuple[str, tuple[float, ...]], ...]) -> Renditions:
+    """A title by the kinds and rates (kbit/s) of its choices in each Period."""
+    index = count()
+
+    def rendition(kbps: float) -> Rendition:
+        number = next(index)
+        return Rendition(number, f"r{number}", kbps)
+
+    return Renditions(
+        [
+            tuple(Choice(kind, kind, tuple(map(rendition, rates))) for kind, rates in period)
+            for period in periods
+        ]
+    )
+
+
+AUDIO_CAP_LEAVES_ROOM_ELSEWHERE = title_of(
+    (("audio", (8.0,)), ("video", (8.0, 9.0)), ("text", (8.0,))),
+    (("audio", (9.0,)), ("video", (8.0,))),
+)
+"""The cap follows the second Period's audio, and lets a player take more video in the first."""
+
+
 def playable(title: Renditions, rate: float, floor: float, listed: frozenset[int]) -> float:
     """The most that a player which heeds the cap as dash.js does can fetch at once, by a plain count."""
     cap, most = title.fit(rate, floor).cap_kbps, 0.0
@@ -58,6 +82,7 @@
 
 
 @given(titles(), RATES, RATES, RATES)
+@example(AUDIO_CAP_LEAVES_ROOM_ELSEWHERE, 1.0, 1.0, 40.0)
 def test_never_more_than_booked_and_never_nothing(title: Renditions, a: float, b: float, c: float) -> None:
     floor, rate, top = sorted([a, b, c])
     booked = title.booked_kb(rate, floor)
